--- a/packages/daemon/src/expert_map/coordinators.ts
+++ b/packages/daemon/src/expert_map/coordinators.ts
@@ -9,7 +9,7 @@
 import * as leaseModule from "../lease/lease.ts";
 import type * as mapStore from "./map_store.ts";
 
-const LOOK_MILLISECONDS = 500;
+const RECONCILE_INTERVAL_MILLISECONDS = 500;
 const ORDER_TIMEOUT_MILLISECONDS = 2_500;
 
 /** What coordinating groups needs of the rest of the entry. */
@@ -39,7 +39,7 @@
     string,
     { coordinator: groupCoordinator.GroupCoordinator; stop: AbortController }
   >();
-  #switching = 0;
+  #switchesInProgress = 0;
 
   constructor(readonly parameters: CoordinatorsParameters) {}
 
@@ -54,7 +54,7 @@
   async run(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
       this.#reconcile(signal);
-      await common.sleep(LOOK_MILLISECONDS, signal);
+      await common.sleep(RECONCILE_INTERVAL_MILLISECONDS, signal);
     }
   }
 
@@ -64,16 +64,16 @@
     for (const runner of runners.all) {
       if (runner.hello?.group) groups.set(runner.hello.group, runner);
     }
-    const alive = entries();
+    const liveEntries = entries();
     for (const [group, { stop }] of this.#running) {
-      const preferred = common.rendezvous(group, alive) === host;
+      const preferred = common.rendezvous(group, liveEntries) === host;
       if (preferred && groups.has(group)) continue;
       stop.abort();
       this.#running.delete(group);
     }
     for (const [group, runner] of groups) {
       if (this.#running.has(group)) continue;
-      if (common.rendezvous(group, alive) !== host) continue;
+      if (common.rendezvous(group, liveEntries) !== host) continue;
       this.#start(group, runner.host.service, signal);
     }
   }
@@ -103,7 +103,7 @@
         random: this.parameters.random,
       }),
       maps,
-      ranks: () =>
+      rankPorts: () =>
         groupPorts.groupPorts({
           group,
           runners: this.parameters.runners,
@@ -111,17 +111,18 @@
         }),
       experts: () => expertsOf(keeper.view?.service(service)),
       preset: () => keeper.view?.preset,
-      mayStart: () => {
-        const most = keeper.view?.preset.placement.maximumSwitches ?? 0;
-        return this.#switching < most;
+      mayStartSwitch: () => {
+        const maximumSwitches =
+          keeper.view?.preset.placement.maximumSwitches ?? 0;
+        return this.#switchesInProgress < maximumSwitches;
       },
       onSwitching: (switching) => {
-        this.#switching += switching ? 1 : -1;
+        this.#switchesInProgress += switching ? 1 : -1;
       },
       logger,
       history,
       host,
-      renewMilliseconds: leaseMilliseconds / 4,
+      renewIntervalMilliseconds: leaseMilliseconds / 4,
     });
   }
 }
--- a/packages/daemon/src/expert_map/group_coordinator.ts
+++ b/packages/daemon/src/expert_map/group_coordinator.ts
@@ -1,7 +1,7 @@
 import * as common from "@geraniumkeel/common";
 import type * as configuration from "@geraniumkeel/configuration";
 import * as wire from "@geraniumkeel/wire";
-import * as holdBack from "../placement/hold_back.ts";
+import * as deferPlacement from "../placement/defer_placement.ts";
 import * as hourShape from "../forecast/hour_shape.ts";
 import * as placementDecision from "../placement/placement_decision.ts";
 import * as surgeClock from "../forecast/surge_clock.ts";
@@ -19,23 +19,23 @@
   lease: leaseModule.Lease;
   maps: mapStore.MapStore;
   /** All ranks, or `undefined` while some are not linked. */
-  ranks: () => rankPort.RankPort[] | undefined;
+  rankPorts: () => rankPort.RankPort[] | undefined;
   experts: () => configuration.Experts | undefined;
   preset: () => configuration.Preset | undefined;
   /** Whether a switch may start now, and room for one more. */
-  mayStart: () => boolean;
+  mayStartSwitch: () => boolean;
   onSwitching: (switching: boolean) => void;
   logger: common.Logger;
   history: common.HistoryRecorder;
   host: string;
-  renewMilliseconds: number;
+  renewIntervalMilliseconds: number;
 }
 
-const RETRY_MILLISECONDS = 500;
+const TAKE_OVER_RETRY_MILLISECONDS = 500;
 /** Steps between arming and the switch; all ranks arm in well under that. */
-const LEAD_STEPS = 30;
+const MIN_LEAD_ITERATIONS = 30;
 /** Time for a switch under way to end when its term does. */
-const FINISH_MILLISECONDS = 3_000;
+const FINISH_TIMEOUT_MILLISECONDS = 3_000;
 /** Maps made in one term have versions of their own. */
 const VERSIONS_PER_TERM = 1_000_000;
 
@@ -50,7 +50,7 @@
 /** A term under way. */
 interface RunningTerm {
   fencing: number;
-  noMore: AbortController;
+  stop: AbortController;
   abandon: AbortController;
   ended: Promise<void>;
 }
@@ -59,17 +59,17 @@
 interface TermParameters {
   fencing: number;
   /** Begin nothing more. */
-  noMore: AbortSignal;
+  stopping: AbortSignal;
   /** Give up what is under way too. */
-  abandon: AbortSignal;
+  abandoning: AbortSignal;
 }
 
 /** Coordinates one group while this entry holds its lease. */
 export class GroupCoordinator {
-  readonly #shape = new hourShape.HourShape();
-  readonly #surges = new surgeClock.SurgeClock();
+  readonly #hourlyLoad = new hourShape.HourShape();
+  readonly #surgeClock = new surgeClock.SurgeClock();
   #lastPlan: placementDecision.PlacementDecision | undefined;
-  #switches = 0;
+  #committedSwitches = 0;
   /** The term under way. */
   #term: RunningTerm | undefined;
 
@@ -81,12 +81,18 @@
     const { fencing } = lease;
     const lastPlan = this.#lastPlan;
     const term = this.#term?.fencing;
-    return { group, fencing, term, switches: this.#switches, lastPlan };
+    return {
+      group,
+      fencing,
+      term,
+      switches: this.#committedSwitches,
+      lastPlan,
+    };
   }
 
   /** Holds the lease and coordinates, term by term. */
   async run(signals: CoordinatorSignals): Promise<void> {
-    const { lease, renewMilliseconds } = this.parameters;
+    const { lease, renewIntervalMilliseconds } = this.parameters;
     const { stopping } = signals;
     while (!stopping.aborted) {
       const fencing = await lease.renew();
@@ -99,7 +105,7 @@
       } else if (fencing !== undefined) {
         this.#term ??= this.#beginTerm(fencing, signals);
       }
-      await common.sleep(renewMilliseconds, stopping);
+      await common.sleep(renewIntervalMilliseconds, stopping);
     }
     await this.#endTerm();
     await lease.release();
@@ -108,14 +114,14 @@
   #beginTerm(fencing: number, signals: CoordinatorSignals): RunningTerm {
     const { logger, group } = this.parameters;
     logger.event(common.EventCode.CoordinatorChanged, { group, fencing });
-    const noMore = new AbortController();
+    const stop = new AbortController();
     const abandon = new AbortController();
     const ended = this.#runTerm({
       fencing,
-      noMore: AbortSignal.any([signals.stopping, noMore.signal]),
-      abandon: AbortSignal.any([signals.closing, abandon.signal]),
+      stopping: AbortSignal.any([signals.stopping, stop.signal]),
+      abandoning: AbortSignal.any([signals.closing, abandon.signal]),
     });
-    return { fencing, noMore, abandon, ended };
+    return { fencing, stop, abandon, ended };
   }
 
   /**
@@ -126,33 +132,33 @@
   async #endTerm(): Promise<void> {
     const term = this.#term;
     if (!term) return;
-    term.noMore.abort();
-    await common.withTimeout(term.ended, FINISH_MILLISECONDS);
+    term.stop.abort();
+    await common.withTimeout(term.ended, FINISH_TIMEOUT_MILLISECONDS);
     term.abandon.abort();
     await term.ended;
     this.#term = undefined;
   }
 
   async #runTerm(parameters: TermParameters): Promise<void> {
-    const { fencing, noMore, abandon } = parameters;
+    const { fencing, stopping, abandoning } = parameters;
     let count = 0;
-    while (!noMore.aborted) {
-      const taken = await this.#takeOver(fencing, abandon);
-      if (taken === "superseded") {
+    while (!stopping.aborted) {
+      const term = await this.#takeOver(fencing, abandoning);
+      if (term === "superseded") {
         // A higher number was promised while the lease looks held. Keeping the
         // lease would leave the group with a coordinator that no rank obeys;
         // given up, it is taken again by someone, under a higher number.
         return this.parameters.lease.release();
       }
-      if (taken === undefined) {
-        await common.sleep(RETRY_MILLISECONDS, noMore);
+      if (term === undefined) {
+        await common.sleep(TAKE_OVER_RETRY_MILLISECONDS, stopping);
         continue;
       }
-      while (!noMore.aborted) {
-        await common.sleep(this.#periodMilliseconds(), noMore);
-        if (noMore.aborted) return;
+      while (!stopping.aborted) {
+        await common.sleep(this.#periodMilliseconds(), stopping);
+        if (stopping.aborted) return;
         const version = fencing * VERSIONS_PER_TERM + ++count;
-        if (!(await this.#round(taken, version))) break;
+        if (!(await this.#rebalance(term, version))) break;
       }
     }
   }
@@ -167,8 +173,8 @@
     fencing: number,
     signal: AbortSignal,
   ): Promise<groupTerm.GroupTerm | "superseded" | undefined> {
-    const { group, ranks, maps, logger } = this.parameters;
-    const ports = ranks();
+    const { group, rankPorts, maps, logger } = this.parameters;
+    const ports = rankPorts();
     if (!ports) return undefined;
     const term = new groupTerm.GroupTerm({ group, fencing, ports, signal });
     const readMap = (version: number) => maps.read(group, version);
@@ -176,7 +182,7 @@
     switch (outcome.kind) {
       case "superseded":
         // The table may have forgotten the number that the ranks remember.
-        this.parameters.lease.outdo(outcome.promised);
+        this.parameters.lease.outdo(outcome.promisedFencing);
         return "superseded";
       case "unreached":
         return undefined;
@@ -192,36 +198,41 @@
   }
 
   /** One look at the group and what follows; false to take over anew. */
-  async #round(term: groupTerm.GroupTerm, version: number): Promise<boolean> {
-    const { experts, preset, mayStart } = this.parameters;
+  async #rebalance(
+    term: groupTerm.GroupTerm,
+    version: number,
+  ): Promise<boolean> {
+    const { experts, preset, mayStartSwitch } = this.parameters;
     const ranks = term.sessions.length;
-    const view = await inspectGroup.inspectGroup(term);
-    if (!view || view.version === undefined || view.held) return false;
-    const wanted = experts();
+    const inspection = await inspectGroup.inspectGroup(term);
+    if (!inspection || inspection.version === undefined || inspection.held)
+      return false;
+    const expertSettings = experts();
     const inForce = preset();
-    if (!wanted || !inForce?.placement.enabled) return true;
+    if (!expertSettings || !inForce?.placement.enabled) return true;
     const seconds = inForce.placement.periodSeconds;
-    const load = perSecond(view.tokens, seconds);
+    const load = perSecond(inspection.tokens, seconds);
     if (!hasLoad(load)) return true;
     const now = Date.now();
-    this.#shape.observe(load, now);
-    this.#surges.observe(tokensPerSecondOf(load), now);
-    const horizon = inForce.placement.horizonSeconds * 1_000;
-    const forecast = this.#shape.forecast(now, horizon) ?? load;
-    if (!mayStart()) return true;
-    const { places } = view;
+    this.#hourlyLoad.observe(load, now);
+    this.#surgeClock.observe(tokensPerSecondOf(load), now);
+    const horizonMilliseconds = inForce.placement.horizonSeconds * 1_000;
+    const forecast =
+      this.#hourlyLoad.forecast(now, horizonMilliseconds) ?? load;
+    if (!mayStartSwitch()) return true;
+    const { places } = inspection;
     const decision = await placementDecision.decidePlacement({
       load: forecast,
       places,
       ranks,
-      experts: wanted,
+      experts: expertSettings,
       placement: inForce.placement,
     });
     this.#lastPlan = decision;
-    this.#explain(decision);
+    this.#logDecision(decision);
     if (decision.kind === "keep") return true;
-    const clock = this.#surges;
-    if (holdBack.isHeldBack({ decision, clock, wallMilliseconds: now })) {
+    const clock = this.#surgeClock;
+    if (deferPlacement.isDeferred({ decision, clock, wallMilliseconds: now })) {
       const { group, logger } = this.parameters;
       const { netMilliseconds } = decision;
       const code = common.EventCode.PlacementHeldBack;
@@ -230,9 +241,9 @@
     }
     return this.#switch({
       term,
-      inForce: { version: view.version, places },
+      inForce: { version: inspection.version, places },
       map: { version, places: inRankOrder(decision.places) },
-      experts: wanted,
+      experts: expertSettings,
     });
   }
 
@@ -245,7 +256,7 @@
     const { term, inForce, map, experts } = parameters;
     const { group, maps, logger, history, host, onSwitching } = this.parameters;
     const { version } = map;
-    if (!(await maps.keep(group, map))) return true;
+    if (!(await maps.write(group, map))) return true;
     logger.event(common.EventCode.MapSwitchStarted, { group, version });
     onSwitching(true);
     const outcome = await switchMap.switchMap({
@@ -254,30 +265,30 @@
       changes: wire.changesBetween(inForce, map),
       mode:
         experts.switching === "at-step"
-          ? switchMap.SwitchMode.AtStep
+          ? switchMap.SwitchMode.AtIteration
           : switchMap.SwitchMode.HoldAll,
-      leadSteps: LEAD_STEPS,
+      minLeadIterations: MIN_LEAD_ITERATIONS,
     });
     onSwitching(false);
     const { kind: ended } = outcome;
     history.record({ kind: "switch", host, group, version, ended });
     const { detail } = outcome;
     switch (outcome.kind) {
-      case switchMap.SwitchKind.Committed:
-        this.#switches++;
+      case switchMap.SwitchOutcomeKind.Committed:
+        this.#committedSwitches++;
         logger.event(common.EventCode.MapSwitchCommitted, { group, version });
         return true;
-      case switchMap.SwitchKind.Cancelled:
+      case switchMap.SwitchOutcomeKind.Cancelled:
         logger.event(common.EventCode.MapSwitchCancelled, { group, detail });
         return true;
-      case switchMap.SwitchKind.Superseded:
-      case switchMap.SwitchKind.Unfinished:
+      case switchMap.SwitchOutcomeKind.Superseded:
+      case switchMap.SwitchOutcomeKind.Unfinished:
         logger.event(common.EventCode.MapSwitchCancelled, { group, detail });
         return false;
     }
   }
 
-  #explain(decision: placementDecision.PlacementDecision): void {
+  #logDecision(decision: placementDecision.PlacementDecision): void {
     const { logger, group } = this.parameters;
     const { skewBefore, skewAfter, changes, megabytes } = decision;
     const { savedMilliseconds, netMilliseconds } = decision;
--- a/packages/daemon/src/expert_map/group_ports.ts
+++ b/packages/daemon/src/expert_map/group_ports.ts
@@ -24,8 +24,8 @@
   const ports = Array.from({ length: size }, (_, rank) =>
     portOf(parameters, rank),
   );
-  const whole = ports.every((port) => port.incarnations().length === 1);
-  return whole ? ports : undefined;
+  const isComplete = ports.every((port) => port.incarnations().length === 1);
+  return isComplete ? ports : undefined;
 }
 
 /**
--- a/packages/daemon/src/expert_map/group_term.ts
+++ b/packages/daemon/src/expert_map/group_term.ts
@@ -7,12 +7,12 @@
  * Bounds of the pause between repetitions. A group may be holding meanwhile, so
  * it is short; it varies, so that no fault with a rhythm meets every repetition.
  */
-const SHORTEST_PAUSE_MILLISECONDS = 10;
-const LONGEST_PAUSE_MILLISECONDS = 60;
-const SHORTEST_HELD_MILLISECONDS = 1;
-const LONGEST_HELD_MILLISECONDS = 5;
+const MIN_PAUSE_MILLISECONDS = 10;
+const MAX_PAUSE_MILLISECONDS = 60;
+const MIN_HELD_PAUSE_MILLISECONDS = 1;
+const MAX_HELD_PAUSE_MILLISECONDS = 5;
 /** Times an order that can be given up is given. */
-const GIVE_TRIES = 3;
+const MAX_TRIES_PER_ORDER = 3;
 
 /** What a term is made of. */
 export interface GroupTermParameters {
@@ -82,22 +82,28 @@
    * Gives an order to all, a few times where the answer is lost; the first
    * failure, if any. For what can still be given up.
    */
-  async giveAll(order: wire.Order): Promise<rankSession.RankReply | undefined> {
-    const replies = this.sessions.map((one) =>
-      tryAFewTimes(() => one.give(order)),
+  async orderAll(
+    order: wire.Order,
+  ): Promise<rankSession.RankReply | undefined> {
+    const replies = this.sessions.map((session) =>
+      repeatWhileUnknown(() => session.order(order)),
     );
     return firstFailure(await Promise.all(replies));
   }
 
   /** Stages a map at all ranks; the first failure, if any. */
   async stage(staging: MapStaging): Promise<rankSession.RankReply | undefined> {
-    const replies = this.sessions.map((one) => this.#stageAt(one, staging));
+    const replies = this.sessions.map((session) =>
+      this.#stageAt(session, staging),
+    );
     return firstFailure(await Promise.all(replies));
   }
 
   /** Gives an order to all and returns the states told, if all answered. */
-  async ask(order: wire.Order): Promise<wire.RankState[] | undefined> {
-    const failure = await this.giveAll(order);
+  async orderAndReadStates(
+    order: wire.Order,
+  ): Promise<wire.RankState[] | undefined> {
+    const failure = await this.orderAll(order);
     return failure ? undefined : this.states;
   }
 
@@ -105,27 +111,35 @@
    * Repeats an order at all ranks until each answer is definite. Orders are
    * idempotent; when an agent was replaced, the term is established again first.
    */
-  async insistAll(
+  async orderAllUntilFinal(
     order: wire.Order,
   ): Promise<rankSession.RankReply | undefined> {
-    const replies = this.sessions.map((one) => this.#insist(one, order));
+    const replies = this.sessions.map((session) =>
+      this.#orderUntilFinal(session, order),
+    );
     return firstFailure(await Promise.all(replies));
   }
 
   /** The pause between repetitions. */
   pause(): Promise<void> {
-    return this.#pause(SHORTEST_PAUSE_MILLISECONDS, LONGEST_PAUSE_MILLISECONDS);
+    return this.#pause(MIN_PAUSE_MILLISECONDS, MAX_PAUSE_MILLISECONDS);
   }
 
   /** A pause about as long as a step, while every rank is kept from stepping. */
   pauseWhileHolding(): Promise<void> {
-    return this.#pause(SHORTEST_HELD_MILLISECONDS, LONGEST_HELD_MILLISECONDS);
+    return this.#pause(
+      MIN_HELD_PAUSE_MILLISECONDS,
+      MAX_HELD_PAUSE_MILLISECONDS,
+    );
   }
 
-  #pause(shortest: number, longest: number): Promise<void> {
+  #pause(minMilliseconds: number, maxMilliseconds: number): Promise<void> {
     const { signal, withoutPauses = false } = this.parameters;
     if (withoutPauses) return new Promise((resolve) => setImmediate(resolve));
-    return common.sleep(this.#random.between(shortest, longest), signal);
+    return common.sleep(
+      this.#random.between(minMilliseconds, maxMilliseconds),
+      signal,
+    );
   }
 
   async #stageAt(
@@ -136,40 +150,42 @@
     const { map, changes } = staging;
     if (changes) {
       const kind = wire.OrderKind.StageChanges;
-      const reply = await tryAFewTimes(() =>
-        session.give({ kind, group, fencing, changes }),
+      const reply = await repeatWhileUnknown(() =>
+        session.order({ kind, group, fencing, changes }),
       );
       const lacksBase =
         !reply.done && reply.failure === rankSession.RankFailure.LacksBase;
       if (!lacksBase) return reply;
     }
     const kind = wire.OrderKind.Stage;
-    return tryAFewTimes(() => session.give({ kind, group, fencing, map }));
+    return repeatWhileUnknown(() =>
+      session.order({ kind, group, fencing, map }),
+    );
   }
 
-  async #insist(
+  async #orderUntilFinal(
     session: rankSession.RankSession,
     order: wire.Order,
   ): Promise<rankSession.RankReply> {
     const { signal } = this.parameters;
-    let last = rankSession.unknown("stopped");
+    let reply = rankSession.unknown("stopped");
     while (!signal.aborted) {
-      const failure = session.bound ? undefined : await this.establish();
-      last = failure ?? (await session.give(order));
-      if (rankSession.isFinal(last)) return last;
+      const failure = session.isBound ? undefined : await this.establish();
+      reply = failure ?? (await session.order(order));
+      if (rankSession.isFinal(reply)) return reply;
       await this.pause();
     }
-    return last;
+    return reply;
   }
 
   async #establishOnce(): Promise<rankSession.RankReply | undefined> {
     const promises = this.sessions.map((session) =>
-      tryAFewTimes(() => session.promise()),
+      repeatWhileUnknown(() => session.promise()),
     );
     const notPromised = firstFailure(await Promise.all(promises));
     if (notPromised) return notPromised;
     const confirmations = this.sessions.map((session) =>
-      tryAFewTimes(() => session.confirm()),
+      repeatWhileUnknown(() => session.confirm()),
     );
     return firstFailure(await Promise.all(confirmations));
   }
@@ -179,15 +195,15 @@
  * Gives an order again when its answer is lost: with many ranks one answer is
  * always being lost somewhere, and a round that must be whole never would be.
  */
-async function tryAFewTimes(
-  give: () => Promise<rankSession.RankReply>,
+async function repeatWhileUnknown(
+  send: () => Promise<rankSession.RankReply>,
 ): Promise<rankSession.RankReply> {
-  let last = await give();
-  for (let tries = 1; tries < GIVE_TRIES; tries++) {
-    if (rankSession.isFinal(last)) return last;
-    last = await give();
+  let reply = await send();
+  for (let tries = 1; tries < MAX_TRIES_PER_ORDER; tries++) {
+    if (rankSession.isFinal(reply)) return reply;
+    reply = await send();
   }
-  return last;
+  return reply;
 }
 
 /** The first failure; being superseded outweighs any other. */
--- a/packages/daemon/src/expert_map/inspect_group.ts
+++ b/packages/daemon/src/expert_map/inspect_group.ts
@@ -2,7 +2,7 @@
 import type * as groupTerm from "./group_term.ts";
 
 /** What a look at all ranks of a group gave. */
-export interface GroupView {
+export interface GroupInspection {
   /** Tokens by layer and expert since the last look. */
   tokens: number[][];
   /** Ranks of each expert by layer, as the ranks themselves tell. */
@@ -16,24 +16,24 @@
 /** Reads the expert load off all ranks; `undefined` if one does not answer. */
 export async function inspectGroup(
   term: groupTerm.GroupTerm,
-): Promise<GroupView | undefined> {
+): Promise<GroupInspection | undefined> {
   const { group, fencing } = term;
   const kind = wire.OrderKind.Inspect;
-  const states = await term.ask({ kind, group, fencing });
+  const states = await term.orderAndReadStates({ kind, group, fencing });
   if (!states) return undefined;
   const versions = new Set(states.map(({ mapVersion }) => mapVersion));
   const counts = states.map(({ expertTokens }) => expertTokens);
   return {
-    ...gather(counts),
+    ...mergeCounts(counts),
     version: versions.size === 1 ? states[0].mapVersion : undefined,
     held: states.some(({ held }) => held),
   };
 }
 
 /** Puts together what each rank tells of its own experts. */
-function gather(
+function mergeCounts(
   counts: wire.ExpertCount[][][],
-): Pick<GroupView, "tokens" | "places"> {
+): Pick<GroupInspection, "tokens" | "places"> {
   const layers = counts[0].length;
   const tokens: number[][] = Array.from({ length: layers }, () => []);
   const places: number[][][] = Array.from({ length: layers }, () => []);
--- a/packages/daemon/src/expert_map/map_store.ts
+++ b/packages/daemon/src/expert_map/map_store.ts
@@ -6,7 +6,7 @@
   constructor(readonly objects: backingServices.ObjectStore) {}
 
   /** Keeps a map before it is staged; false when that failed. */
-  async keep(group: string, map: wire.ExpertMap): Promise<boolean> {
+  async write(group: string, map: wire.ExpertMap): Promise<boolean> {
     const name = objectName(group, map.version);
     const written = await this.objects.put(name, JSON.stringify(map));
     return written.isOk();
--- a/packages/daemon/src/expert_map/rank_orders.ts
+++ b/packages/daemon/src/expert_map/order_gate.ts
@@ -1,14 +1,14 @@
 import * as engineModule from "@geraniumkeel/engine";
 import * as wire from "@geraniumkeel/wire";
-import * as keptMaps from "./kept_maps.ts";
+import * as mapCache from "./map_cache.ts";
 
 /** Part of the engine that takes group orders. */
-export interface OrderTaker {
+export interface OrderableEngine {
   order: engineModule.HttpEngine["order"];
 }
 
 /** What one rank answers while its engine has not been asked. */
-function emptyState(): wire.RankState {
+function defaultState(): wire.RankState {
   return {
     step: 0,
     mapVersion: 0,
@@ -28,20 +28,20 @@
  * and orders name the incarnation that promised, so that a coordinator from
  * before a restart is refused even with the highest number.
  */
-export class RankOrders {
-  readonly #maps = new keptMaps.KeptMaps();
-  #promised = 0;
+export class OrderGate {
+  readonly #mapCache = new mapCache.MapCache();
+  #promisedFencing = 0;
   /** Orders run one at a time, so a promise follows all earlier orders. */
   #previous: Promise<unknown> = Promise.resolve();
 
   constructor(
     readonly incarnation: string,
-    readonly engine: OrderTaker,
+    readonly engine: OrderableEngine,
   ) {}
 
   /** Highest fencing number promised. */
-  get promised(): number {
-    return this.#promised;
+  get promisedFencing(): number {
+    return this.#promisedFencing;
   }
 
   /** Carries out an order or says why not. */
@@ -49,12 +49,12 @@
     agentIncarnation: string;
     order: wire.Order;
   }): Promise<wire.OrderAnswer> {
-    const turn = this.#previous.then(() => this.#carryOut(parameters));
-    this.#previous = turn;
-    return turn;
+    const answer = this.#previous.then(() => this.#execute(parameters));
+    this.#previous = answer;
+    return answer;
   }
 
-  async #carryOut(parameters: {
+  async #execute(parameters: {
     agentIncarnation: string;
     order: wire.Order;
   }): Promise<wire.OrderAnswer> {
@@ -62,12 +62,12 @@
     if (agentIncarnation !== this.incarnation) {
       return this.#refuse(wire.OrderRefusal.OldIncarnation);
     }
-    if (order.fencing < this.#promised) {
+    if (order.fencing < this.#promisedFencing) {
       return this.#refuse(wire.OrderRefusal.OldFencing);
     }
     if (order.kind === wire.OrderKind.Promise) {
-      this.#promised = order.fencing;
-    } else if (order.fencing !== this.#promised) {
+      this.#promisedFencing = order.fencing;
+    } else if (order.fencing !== this.#promisedFencing) {
       return this.#refuse(wire.OrderRefusal.NotPromised);
     }
     const engineOrder = this.#engineOrder(order);
@@ -75,9 +75,9 @@
     const answer = await this.engine.order(engineOrder);
     if (answer.isOk()) {
       if (engineOrder.kind === wire.OrderKind.Stage) {
-        this.#maps.keep(engineOrder.map);
+        this.#mapCache.put(engineOrder.map);
       }
-      return { done: true, state: { ...emptyState(), ...answer.value } };
+      return { done: true, state: { ...defaultState(), ...answer.value } };
     }
     return this.#refuse(refusalOf(answer.error.reason));
   }
@@ -86,12 +86,12 @@
   #engineOrder(order: wire.Order): wire.EngineOrder | undefined {
     if (order.kind !== wire.OrderKind.StageChanges) return order;
     const { group, fencing } = order;
-    const map = this.#maps.apply(order.changes);
+    const map = this.#mapCache.applyChanges(order.changes);
     return map && { kind: wire.OrderKind.Stage, group, fencing, map };
   }
 
   #refuse(refusal: wire.OrderRefusal): wire.OrderAnswer {
-    return { done: false, refusal, fencing: this.#promised };
+    return { done: false, refusal, fencing: this.#promisedFencing };
   }
 }
 
--- a/packages/daemon/src/expert_map/rank_session.ts
+++ b/packages/daemon/src/expert_map/rank_session.ts
@@ -21,7 +21,7 @@
       failure: RankFailure;
       detail: string;
       /** Fencing number that the rank obeys instead; 0 if it told none. */
-      promised: number;
+      promisedFencing: number;
     };
 
 /**
@@ -40,7 +40,7 @@
   ) {}
 
   /** Whether the agent that promised is still the one in place. */
-  get bound(): boolean {
+  get isBound(): boolean {
     if (this.#promisedBy === undefined) return false;
     return this.port.incarnations().includes(this.#promisedBy);
   }
@@ -60,11 +60,11 @@
   /** Asks the agent that promised whether it still stands by it. */
   async confirm(): Promise<RankReply> {
     const { group, fencing } = this;
-    return this.give({ kind: wire.OrderKind.Promise, group, fencing });
+    return this.order({ kind: wire.OrderKind.Promise, group, fencing });
   }
 
   /** Gives an order once; an unknown answer is an answer. */
-  async give(order: wire.Order): Promise<RankReply> {
+  async order(order: wire.Order): Promise<RankReply> {
     if (this.#promisedBy === undefined) return unknown("no promise");
     return this.#send(order, this.#promisedBy);
   }
@@ -111,10 +111,15 @@
 }
 
 function failed(failure: RankFailure, detail: string): RankReply {
-  return { done: false, failure, detail, promised: 0 };
+  return { done: false, failure, detail, promisedFencing: 0 };
 }
 
-function superseded(promised: number): RankReply {
+function superseded(promisedFencing: number): RankReply {
   const failure = RankFailure.Superseded;
-  return { done: false, failure, detail: `promised ${promised}`, promised };
+  return {
+    done: false,
+    failure,
+    detail: `promised ${promisedFencing}`,
+    promisedFencing,
+  };
 }
--- a/packages/daemon/src/expert_map/switch_map.ts
+++ b/packages/daemon/src/expert_map/switch_map.ts
@@ -3,7 +3,7 @@
 import * as rankSession from "./rank_session.ts";
 
 /** How a switch ended. */
-export enum SwitchKind {
+export enum SwitchOutcomeKind {
   Committed = "committed",
   /** All ranks keep the map they had. */
   Cancelled = "cancelled",
@@ -15,16 +15,16 @@
 
 /** How a switch ended and why. */
 export interface SwitchOutcome {
-  kind: SwitchKind;
+  kind: SwitchOutcomeKind;
   detail: string;
   /** Fencing number that some rank obeys instead; 0 if none was told. */
-  promised: number;
+  promisedFencing: number;
 }
 
 /** How engines of a group take a new map. */
 export enum SwitchMode {
   /** "At step S, hold unless told go." */
-  AtStep = "at-step",
+  AtIteration = "at-step",
   /** Hold all, apply, release; for engines without step numbers. */
   HoldAll = "hold-all",
 }
@@ -34,9 +34,9 @@
  * one to spare. Staging was such a round; with late messages a fixed lead would
  * let the step come first, and the group would hold for the rest.
  */
-const ROUNDS_AHEAD = 3;
+const LEAD_ORDER_ROUNDS = 3;
 /** Bound of the lead, for a group that stepped on while one rank was slow. */
-const MOST_LEAD_STEPS = 1_000;
+const MAX_LEAD_ITERATIONS = 1_000;
 
 /** What a switch needs. */
 export interface SwitchParameters {
@@ -47,7 +47,7 @@
   changes?: wire.MapChanges;
   mode: SwitchMode;
   /** Steps between arming and the switch at least. */
-  leadSteps: number;
+  minLeadIterations: number;
 }
 
 /**
@@ -59,34 +59,38 @@
   parameters: SwitchParameters,
 ): Promise<SwitchOutcome> {
   const { term, map, changes } = parameters;
-  const stepBefore = newestStep(term);
+  const iterationBefore = newestIteration(term);
   const notStaged = await term.stage({ map, changes });
-  if (notStaged) return cancel(parameters, notStaged);
+  if (notStaged) return cancelSwitch(parameters, notStaged);
   switch (parameters.mode) {
-    case SwitchMode.AtStep: {
-      const passed = newestStep(term) - stepBefore;
-      return switchAtStep(parameters, passed);
+    case SwitchMode.AtIteration: {
+      const iterationsWhileStaging = newestIteration(term) - iterationBefore;
+      return switchAtIteration(parameters, iterationsWhileStaging);
     }
     case SwitchMode.HoldAll:
-      return switchHolding(parameters);
+      return switchWhileHolding(parameters);
   }
 }
 
-async function switchAtStep(
+async function switchAtIteration(
   parameters: SwitchParameters,
-  stepsWhileStaging: number,
+  iterationsWhileStaging: number,
 ): Promise<SwitchOutcome> {
-  const { term, map, leadSteps } = parameters;
+  const { term, map, minLeadIterations } = parameters;
   const { group, fencing } = term;
   const { version } = map;
-  const lead = Math.max(leadSteps, ROUNDS_AHEAD * stepsWhileStaging);
-  const step = newestStep(term) + Math.min(lead, MOST_LEAD_STEPS);
+  const leadIterations = Math.max(
+    minLeadIterations,
+    LEAD_ORDER_ROUNDS * iterationsWhileStaging,
+  );
+  const step =
+    newestIteration(term) + Math.min(leadIterations, MAX_LEAD_ITERATIONS);
   const kind = wire.OrderKind.Arm;
-  const notArmed = await term.giveAll({ kind, group, fencing, version, step });
+  const notArmed = await term.orderAll({ kind, group, fencing, version, step });
   // A rank whose answer is unknown may have armed, and would hold: until all
   // have armed for certain, giving up is still possible, and is done.
-  if (notArmed) return cancel(parameters, notArmed);
-  return finishGo(term, version);
+  if (notArmed) return cancelSwitch(parameters, notArmed);
+  return completeArmedSwitch(term, version);
 }
 
 /**
@@ -94,14 +98,19 @@
  * Ranks without it hold at the step, so lateness costs time and never a step
  * with two maps.
  */
-export async function finishGo(
+export async function completeArmedSwitch(
   term: groupTerm.GroupTerm,
   version: number,
 ): Promise<SwitchOutcome> {
   const { group, fencing } = term;
   const kind = wire.OrderKind.Go;
-  const failure = await term.insistAll({ kind, group, fencing, version });
-  if (failure) return unfinished(failure);
+  const failure = await term.orderAllUntilFinal({
+    kind,
+    group,
+    fencing,
+    version,
+  });
+  if (failure) return failedOutcome(failure);
   return awaitApplied(term, version);
 }
 
@@ -113,48 +122,48 @@
   term: groupTerm.GroupTerm,
   version: number,
 ): Promise<SwitchOutcome> {
-  const failure = await awaitAll(
+  const failure = await awaitAllRanks(
     term,
     (state) => state.mapVersion === version,
     () => term.pause(),
   );
-  if (failure) return unfinished(failure);
+  if (failure) return failedOutcome(failure);
   return {
-    kind: SwitchKind.Committed,
-    promised: 0,
+    kind: SwitchOutcomeKind.Committed,
+    promisedFencing: 0,
     detail: `version ${version}`,
   };
 }
 
 /** Looks at all ranks until each is in a state; the failure if that ends. */
-async function awaitAll(
+async function awaitAllRanks(
   term: groupTerm.GroupTerm,
   condition: (state: wire.RankState) => boolean,
   pause: () => Promise<void>,
 ): Promise<rankSession.RankReply | undefined> {
   const { group, fencing } = term;
-  const look = { kind: wire.OrderKind.Promise, group, fencing } as const;
+  const readState = { kind: wire.OrderKind.Promise, group, fencing } as const;
   for (;;) {
-    const failure = await term.insistAll(look);
+    const failure = await term.orderAllUntilFinal(readState);
     if (failure || term.states.every(condition)) return failure;
     await pause();
   }
 }
 
 /** Newest step that any rank has told. */
-function newestStep(term: groupTerm.GroupTerm): number {
+function newestIteration(term: groupTerm.GroupTerm): number {
   return Math.max(...term.states.map(({ step }) => step));
 }
 
-async function switchHolding(
+async function switchWhileHolding(
   parameters: SwitchParameters,
 ): Promise<SwitchOutcome> {
   const { term, map } = parameters;
   const { group, fencing } = term;
   const hold = { kind: wire.OrderKind.Hold, group, fencing } as const;
-  const notHeld = await term.giveAll(hold);
-  if (notHeld) return cancel(parameters, notHeld);
-  return finishHeld(term, map.version);
+  const notHeld = await term.orderAll(hold);
+  if (notHeld) return cancelSwitch(parameters, notHeld);
+  return completeHeldSwitch(term, map.version);
 }
 
 /**
@@ -163,32 +172,37 @@
  * then, it would end that step with another map than it began. Only when all say
  * that they are at rest is no step under way anywhere in the group.
  */
-export async function finishHeld(
+export async function completeHeldSwitch(
   term: groupTerm.GroupTerm,
   version: number,
 ): Promise<SwitchOutcome> {
   const { group, fencing } = term;
-  const notAtRest = await awaitAll(
+  const notAtRest = await awaitAllRanks(
     term,
     ({ held }) => held,
     () => term.pauseWhileHolding(),
   );
-  if (notAtRest) return unfinished(notAtRest);
+  if (notAtRest) return failedOutcome(notAtRest);
   const kind = wire.OrderKind.Apply;
-  const notApplied = await term.insistAll({ kind, group, fencing, version });
-  if (notApplied) return unfinished(notApplied);
+  const notApplied = await term.orderAllUntilFinal({
+    kind,
+    group,
+    fencing,
+    version,
+  });
+  if (notApplied) return failedOutcome(notApplied);
   const release = { kind: wire.OrderKind.Release, group, fencing } as const;
-  const notReleased = await term.insistAll(release);
-  if (notReleased) return unfinished(notReleased);
+  const notReleased = await term.orderAllUntilFinal(release);
+  if (notReleased) return failedOutcome(notReleased);
   return {
-    kind: SwitchKind.Committed,
-    promised: 0,
+    kind: SwitchOutcomeKind.Committed,
+    promisedFencing: 0,
     detail: `version ${version}`,
   };
 }
 
 /** Gives up: every rank drops what was staged or armed. */
-async function cancel(
+async function cancelSwitch(
   parameters: SwitchParameters,
   reason: rankSession.RankReply,
 ): Promise<SwitchOutcome> {
@@ -196,35 +210,39 @@
   const detail = describe(reason);
   if (rankSession.isSuperseded(reason)) {
     return {
-      kind: SwitchKind.Superseded,
+      kind: SwitchOutcomeKind.Superseded,
       detail,
-      promised: promisedOf(reason),
+      promisedFencing: promisedFencingOf(reason),
     };
   }
-  const failure = await cancelAll(term, map.version);
-  if (failure) return unfinished(failure);
-  return { kind: SwitchKind.Cancelled, detail, promised: 0 };
+  const failure = await cancelSwitchesUpTo(term, map.version);
+  if (failure) return failedOutcome(failure);
+  return { kind: SwitchOutcomeKind.Cancelled, detail, promisedFencing: 0 };
 }
 
 /** Has all ranks drop switches up to a version. */
-export async function cancelAll(
+export async function cancelSwitchesUpTo(
   term: groupTerm.GroupTerm,
   version: number,
 ): Promise<rankSession.RankReply | undefined> {
   const { group, fencing } = term;
   const kind = wire.OrderKind.Cancel;
-  return term.insistAll({ kind, group, fencing, version });
+  return term.orderAllUntilFinal({ kind, group, fencing, version });
 }
 
-function unfinished(reason: rankSession.RankReply): SwitchOutcome {
+function failedOutcome(reason: rankSession.RankReply): SwitchOutcome {
   const kind = rankSession.isSuperseded(reason)
-    ? SwitchKind.Superseded
-    : SwitchKind.Unfinished;
-  return { kind, detail: describe(reason), promised: promisedOf(reason) };
+    ? SwitchOutcomeKind.Superseded
+    : SwitchOutcomeKind.Unfinished;
+  return {
+    kind,
+    detail: describe(reason),
+    promisedFencing: promisedFencingOf(reason),
+  };
 }
 
-function promisedOf(reply: rankSession.RankReply): number {
-  return reply.done ? 0 : reply.promised;
+function promisedFencingOf(reply: rankSession.RankReply): number {
+  return reply.done ? 0 : reply.promisedFencing;
 }
 
 function describe(reply: rankSession.RankReply): string {
--- a/packages/daemon/src/expert_map/take_over.ts
+++ b/packages/daemon/src/expert_map/take_over.ts
@@ -16,7 +16,7 @@
       kind: "superseded";
       detail: string;
       /** Fencing number that some rank obeys instead; 0 if none was told. */
-      promised: number;
+      promisedFencing: number;
     }
   | { kind: "unreached"; detail: string };
 
@@ -38,15 +38,15 @@
 ): Promise<TakeOverOutcome> {
   const { term } = parameters;
   const failure = await term.establish();
-  if (failure) return notTaken(failure);
+  if (failure) return failedTakeOver(failure);
   const { states } = term;
-  const going = Math.max(...states.map(({ goVersion }) => goVersion));
+  const newestGoVersion = Math.max(...states.map(({ goVersion }) => goVersion));
   const inForce = states.map(({ mapVersion }) => mapVersion);
   const newest = Math.max(...inForce);
   const armed = states.some(({ armedVersion }) => armedVersion === newest);
-  if (going > 0) return finish(term, going);
+  if (newestGoVersion > 0) return finish(term, newestGoVersion);
   if (inForce.every((version) => version === newest)) {
-    return cancelLeft(term, newest);
+    return cancelUnfinishedSwitch(term, newest);
   }
   // Some ranks have applied a map that others are still armed for.
   if (armed) return finish(term, newest);
@@ -57,21 +57,22 @@
   term: groupTerm.GroupTerm,
   version: number,
 ): Promise<TakeOverOutcome> {
-  const outcome = await switchMap.finishGo(term, version);
+  const outcome = await switchMap.completeArmedSwitch(term, version);
   return outcomeOf(outcome, version, "finished");
 }
 
-async function cancelLeft(
+async function cancelUnfinishedSwitch(
   term: groupTerm.GroupTerm,
   version: number,
 ): Promise<TakeOverOutcome> {
-  const left = term.states.some(
+  const hasUnfinishedSwitch = term.states.some(
     (state) => state.armedVersion > 0 || state.stagedVersion > 0 || state.held,
   );
-  if (!left) return { kind: "ready", version, recovered: "nothing" };
-  const newest = Number.MAX_SAFE_INTEGER;
-  const failure = await switchMap.cancelAll(term, newest);
-  if (failure) return notTaken(failure);
+  if (!hasUnfinishedSwitch)
+    return { kind: "ready", version, recovered: "nothing" };
+  const anyVersion = Number.MAX_SAFE_INTEGER;
+  const failure = await switchMap.cancelSwitchesUpTo(term, anyVersion);
+  if (failure) return failedTakeOver(failure);
   return { kind: "ready", version, recovered: "cancelled" };
 }
 
@@ -90,18 +91,18 @@
   const hold = { kind: wire.OrderKind.Hold, group, fencing } as const;
   const stage = { kind: wire.OrderKind.Stage, group, fencing, map } as const;
   for (const order of [hold, stage]) {
-    const failure = await term.insistAll(order);
-    if (failure) return notTaken(failure);
+    const failure = await term.orderAllUntilFinal(order);
+    if (failure) return failedTakeOver(failure);
   }
-  const outcome = await switchMap.finishHeld(term, version);
+  const outcome = await switchMap.completeHeldSwitch(term, version);
   return outcomeOf(outcome, version, "unified");
 }
 
-function notTaken(reply: rankSession.RankReply): TakeOverOutcome {
+function failedTakeOver(reply: rankSession.RankReply): TakeOverOutcome {
   if (reply.done) return { kind: "unreached", detail: "" };
-  const { detail, promised } = reply;
+  const { detail, promisedFencing } = reply;
   return rankSession.isSuperseded(reply)
-    ? { kind: "superseded", detail, promised }
+    ? { kind: "superseded", detail, promisedFencing }
     : { kind: "unreached", detail };
 }
 
@@ -112,12 +113,16 @@
 ): TakeOverOutcome {
   const { detail } = outcome;
   switch (outcome.kind) {
-    case switchMap.SwitchKind.Committed:
+    case switchMap.SwitchOutcomeKind.Committed:
       return { kind: "ready", version, recovered };
-    case switchMap.SwitchKind.Superseded:
-      return { kind: "superseded", detail, promised: outcome.promised };
-    case switchMap.SwitchKind.Cancelled:
-    case switchMap.SwitchKind.Unfinished:
+    case switchMap.SwitchOutcomeKind.Superseded:
+      return {
+        kind: "superseded",
+        detail,
+        promisedFencing: outcome.promisedFencing,
+      };
+    case switchMap.SwitchOutcomeKind.Cancelled:
+    case switchMap.SwitchOutcomeKind.Unfinished:
       return { kind: "unreached", detail };
   }
 }
--- a/packages/daemon/src/mod.ts
+++ b/packages/daemon/src/mod.ts
@@ -1,6 +1,6 @@
 export * from "./entry/start_entry.ts";
 export * from "./expert_map/group_term.ts";
-export * from "./expert_map/rank_orders.ts";
+export * from "./expert_map/order_gate.ts";
 export * from "./expert_map/rank_port.ts";
 export * from "./expert_map/switch_map.ts";
 export * from "./expert_map/take_over.ts";
--- a/packages/daemon/src/upstream/start_upstream.ts
+++ b/packages/daemon/src/upstream/start_upstream.ts
@@ -2,7 +2,7 @@
 import * as engineModule from "@geraniumkeel/engine";
 import * as neverthrow from "neverthrow";
 import * as wire from "@geraniumkeel/wire";
-import * as rankOrders from "../expert_map/rank_orders.ts";
+import * as orderGate from "../expert_map/order_gate.ts";
 import type * as runningProcess from "../running_process.ts";
 import * as listenModule from "../settings/listen.ts";
 import * as settingsModule from "../settings/settings.ts";
@@ -141,7 +141,7 @@
     case settingsModule.BackEndKind.Model: {
       const engine = new engineModule.HttpEngine(backEnd.url, options);
       lifeCycle.own({ name: "engine", close: () => engine.close() });
-      const orders = new rankOrders.RankOrders(incarnation, engine);
+      const orders = new orderGate.OrderGate(incarnation, engine);
       return { kind: backEnd.kind, engine, orders };
     }
     case settingsModule.BackEndKind.Plain: {
@@ -211,7 +211,7 @@
     load: reporter.last,
     promisedFencing:
       backEnd.kind === settingsModule.BackEndKind.Model
-        ? backEnd.orders.promised
+        ? backEnd.orders.promisedFencing
         : undefined,
     attempts: {
       started: table.started,
--- a/packages/daemon/src/upstream/upstream_context.ts
+++ b/packages/daemon/src/upstream/upstream_context.ts
@@ -1,7 +1,7 @@
 import type * as common from "@geraniumkeel/common";
 import type * as engineModule from "@geraniumkeel/engine";
 import type * as wire from "@geraniumkeel/wire";
-import type * as rankOrders from "../expert_map/rank_orders.ts";
+import type * as orderGate from "../expert_map/order_gate.ts";
 import type * as settings from "../settings/settings.ts";
 import type * as backEndLives from "./back_end_lives.ts";
 import type * as attemptTable from "./attempt_table.ts";
@@ -13,7 +13,7 @@
   | {
       kind: settings.BackEndKind.Model;
       engine: engineModule.HttpEngine;
-      orders: rankOrders.RankOrders;
+      orders: orderGate.OrderGate;
     }
   | {
       kind: settings.BackEndKind.Plain;
--- a/packages/stand_ins/src/measure/measure_surge.ts
+++ b/packages/stand_ins/src/measure/measure_surge.ts
@@ -1,7 +1,7 @@
 import * as common from "@geraniumkeel/common";
 import type * as configuration from "@geraniumkeel/configuration";
 import * as fullRepack from "@geraniumkeel/daemon/placement/full_repack";
-import * as holdBack from "@geraniumkeel/daemon/placement/hold_back";
+import * as deferPlacement from "@geraniumkeel/daemon/placement/defer_placement";
 import * as hourShape from "@geraniumkeel/daemon/forecast/hour_shape";
 import * as placementDecision from "@geraniumkeel/daemon/placement/placement_decision";
 import * as planPlacement from "@geraniumkeel/daemon/placement/plan_placement";
@@ -94,7 +94,7 @@
     });
     const wallMilliseconds = wall;
     const held =
-      holds && holdBack.isHeldBack({ decision, clock, wallMilliseconds });
+      holds && deferPlacement.isDeferred({ decision, clock, wallMilliseconds });
     if (decision.kind === "change" && !held) {
       const { megabytes } = decision;
       figures.megabytes += megabytes;
--- a/packages/stand_ins/src/system/expert_map_test.ts
+++ b/packages/stand_ins/src/system/expert_map_test.ts
@@ -16,7 +16,7 @@
 
 /** What stands between coordinators and engines. */
 interface Gate {
-  handle: daemon.RankOrders["handle"];
+  handle: daemon.OrderGate["handle"];
   incarnation: string;
 }
 
@@ -24,17 +24,17 @@
 interface Mechanism {
   checksFencing: boolean;
   mode: daemon.SwitchMode;
-  gate: (incarnation: string, engine: daemon.OrderTaker) => Gate;
+  gate: (incarnation: string, engine: daemon.OrderableEngine) => Gate;
 }
 
 const SOUND: Mechanism = {
   checksFencing: false,
-  mode: daemon.SwitchMode.AtStep,
-  gate: (incarnation, engine) => new daemon.RankOrders(incarnation, engine),
+  mode: daemon.SwitchMode.AtIteration,
+  gate: (incarnation, engine) => new daemon.OrderGate(incarnation, engine),
 };
 
 /** Gate that passes every order on, whatever its fencing number. */
-function openGate(incarnation: string, engine: daemon.OrderTaker): Gate {
+function openGate(incarnation: string, engine: daemon.OrderableEngine): Gate {
   return {
     incarnation,
     handle: async ({ order }) => {
@@ -73,13 +73,13 @@
       model: engineModel.engineModel({ ranks: RANKS, layers: 1, experts: 4 }),
       seed,
       checksFencing: mechanism.checksFencing,
-      numbersSteps: mechanism.mode === daemon.SwitchMode.AtStep,
+      numbersSteps: mechanism.mode === daemon.SwitchMode.AtIteration,
     });
     this.gates = this.group.ranks.map((_, rank) => this.newGate(rank));
   }
 
   newGate(rank: number): Gate {
-    const engine: daemon.OrderTaker = {
+    const engine: daemon.OrderableEngine = {
       order: async (order) => {
         await turns(this.random.below(3));
         const answer = engineOrders.takeOrder(this.group.ranks[rank], order);
@@ -132,9 +132,9 @@
         map,
         changes,
         mode,
-        leadSteps,
+        minLeadIterations: leadSteps,
       });
-      if (ended.kind === daemon.SwitchKind.Committed) inForce = map;
+      if (ended.kind === daemon.SwitchOutcomeKind.Committed) inForce = map;
     }
     return "done";
   }
