--- a/packages/daemon/src/placement/full_repack.ts
+++ b/packages/daemon/src/placement/full_repack.ts
@@ -25,8 +25,9 @@
     for (let expert = 0; expert < counts.length; expert++) {
       if (counts[expert] >= input.ranks) continue;
       const share = load[expert] / counts[expert];
-      const most = heaviest < 0 ? -1 : load[heaviest] / counts[heaviest];
-      if (share > most) heaviest = expert;
+      const heaviestShare =
+        heaviest < 0 ? -1 : load[heaviest] / counts[heaviest];
+      if (share > heaviestShare) heaviest = expert;
     }
     if (heaviest < 0) break;
     counts[heaviest]++;
@@ -71,8 +72,8 @@
   let copies = 0;
   after.forEach((layer, index) => {
     layer.forEach((ranks, expert) => {
-      const had = before[index][expert];
-      copies += ranks.filter((rank) => !had.includes(rank)).length;
+      const ranksBefore = before[index][expert];
+      copies += ranks.filter((rank) => !ranksBefore.includes(rank)).length;
     });
   });
   return copies;
--- a/packages/daemon/src/placement/improve_layer.ts
+++ b/packages/daemon/src/placement/improve_layer.ts
@@ -26,12 +26,12 @@
 }
 
 /** Ranks looked at as new places of an expert. */
-const TARGETS = 6;
+const MAX_TARGET_RANKS = 6;
 /**
  * Smallest improvement that is worth looking at, as a share of the load. Below
  * it a plan goes on for long with changes that noise undoes.
  */
-const SMALLEST_GAIN = 2e-3;
+const MIN_GAIN_SHARE = 2e-3;
 
 /**
  * The change that lowers the load of the slowest rank most per copy without
@@ -41,18 +41,18 @@
 export function bestChange(
   plan: layerPlan.LayerPlan,
   slots: number,
-  smallestGain: number,
+  minGainPerCopy: number,
   mayLoad: (rank: number) => boolean = () => true,
 ): Change | undefined {
-  const from = plan.slowestRank;
+  const from = plan.mostLoadedRank;
   const peak = plan.rankLoad[from];
   // Scalars and not objects: thousands are weighed for each that is made.
   let bestKind: ChangeKind | undefined;
   let bestExpert = -1;
   let bestTo = -1;
   let bestOther = -1;
-  let bestGain = Math.max(peak * SMALLEST_GAIN, smallestGain);
-  const targets = plan.lightest(TARGETS).filter(mayLoad);
+  let bestGain = Math.max(peak * MIN_GAIN_SHARE, minGainPerCopy);
+  const targets = plan.leastLoadedRanks(MAX_TARGET_RANKS).filter(mayLoad);
   const maySwap = mayLoad(from);
   for (const expert of plan.expertsOn[from]) {
     const ranks = plan.ranksOf[expert];
@@ -96,14 +96,15 @@
           }
         }
         if (otherRanks.length < 2) continue;
-        const burden = plan.load[other] / (otherRanks.length - 1) - otherShare;
+        const addedLoad =
+          plan.load[other] / (otherRanks.length - 1) - otherShare;
         const displaced = Math.max(
-          peak - share + shareAfter + (shared ? burden : 0),
+          peak - share + shareAfter + (shared ? addedLoad : 0),
           toLoad - otherShare + shareAfter,
         );
         const gain = peak - displaced;
         if (gain <= bestGain) continue;
-        if (!canBear(plan, otherRanks, to, burden, peak)) continue;
+        if (!canAbsorb(plan, otherRanks, to, addedLoad, peak)) continue;
         bestGain = gain;
         bestKind = ChangeKind.Displace;
         bestExpert = expert;
@@ -125,16 +126,16 @@
 }
 
 /** Whether the other ranks of an expert can take over a removed replica. */
-function canBear(
+function canAbsorb(
   plan: layerPlan.LayerPlan,
   ranks: number[],
   removed: number,
-  burden: number,
+  addedLoad: number,
   peak: number,
 ): boolean {
   for (const rank of ranks) {
     if (rank === removed) continue;
-    if (plan.rankLoad[rank] + burden >= peak) return false;
+    if (plan.rankLoad[rank] + addedLoad >= peak) return false;
   }
   return true;
 }
--- a/packages/daemon/src/placement/layer_plan.ts
+++ b/packages/daemon/src/placement/layer_plan.ts
@@ -29,23 +29,23 @@
   }
 
   /** Load of the slowest rank. */
-  get slowest(): number {
-    let most = 0;
-    for (const load of this.rankLoad) most = Math.max(most, load);
-    return most;
+  get maxRankLoad(): number {
+    let highest = 0;
+    for (const load of this.rankLoad) highest = Math.max(highest, load);
+    return highest;
   }
 
   /** Rank with the highest load. */
-  get slowestRank(): number {
-    let best = 0;
+  get mostLoadedRank(): number {
+    let mostLoaded = 0;
     for (let rank = 1; rank < this.ranks; rank++) {
-      if (this.rankLoad[rank] > this.rankLoad[best]) best = rank;
+      if (this.rankLoad[rank] > this.rankLoad[mostLoaded]) mostLoaded = rank;
     }
-    return best;
+    return mostLoaded;
   }
 
   /** The `count` ranks with the lowest load. */
-  lightest(count: number): number[] {
+  leastLoadedRanks(count: number): number[] {
     const chosen: number[] = [];
     for (let rank = 0; rank < this.ranks; rank++) {
       let position = chosen.length;
--- a/packages/daemon/src/placement/placement_decision.ts
+++ b/packages/daemon/src/placement/placement_decision.ts
@@ -3,12 +3,12 @@
 import * as planPlacement from "./plan_placement.ts";
 
 /** Inputs too small for a worker to be worth its start. */
-const SMALL_INPUT = 16_384;
+const MAX_MAIN_THREAD_INPUT_SIZE = 16_384;
 /**
  * Gain below this share of the present step part is noise: acting on it would
  * move experts to and fro.
  */
-const SMALLEST_GAIN_SHARE = 0.02;
+const MIN_GAIN_SHARE = 0.02;
 
 /** Whether to change the map, with the figures that explain it. */
 export interface PlacementDecision {
@@ -45,16 +45,16 @@
   };
   const size = load.length * (load[0]?.length ?? 0) * ranks;
   const plan =
-    size <= SMALL_INPUT
+    size <= MAX_MAIN_THREAD_INPUT_SIZE
       ? planPlacement.planPlacement(input)
       : await planInWorker.planInWorker(input);
   const share = (plan.skewBefore - plan.skewAfter) / plan.skewBefore;
-  const worth = plan.netMilliseconds > 0 && share >= SMALLEST_GAIN_SHARE;
+  const paysOff = plan.netMilliseconds > 0 && share >= MIN_GAIN_SHARE;
   const { skewBefore, skewAfter, changes, megabytes } = plan;
   const { savedMilliseconds, netMilliseconds } = plan;
   return {
-    kind: worth ? "change" : "keep",
-    places: worth ? plan.places : places,
+    kind: paysOff ? "change" : "keep",
+    places: paysOff ? plan.places : places,
     skewBefore,
     skewAfter,
     changes,
--- a/packages/daemon/src/placement/plan_placement.ts
+++ b/packages/daemon/src/placement/plan_placement.ts
@@ -50,23 +50,25 @@
  * all layers compete for the bytes.
  */
 export function planPlacement(input: PlacementInput): PlacementPlan {
-  const plans = plansOf(input);
+  const plans = layerPlansOf(input);
   const skewBefore = meanSkew(plans);
-  const slowestBefore = totalSlowest(plans);
-  const price = input.exchangeRate * input.megabytesPerExpert;
-  const worth = input.millisecondsPerToken * input.horizonSeconds;
-  const pricePerCopy = price / worth;
+  const maxLoadBefore = totalMaxRankLoad(plans);
+  const copyCostMilliseconds = input.exchangeRate * input.megabytesPerExpert;
+  const millisecondsPerUnitLoad =
+    input.millisecondsPerToken * input.horizonSeconds;
+  const copyCostInLoad = copyCostMilliseconds / millisecondsPerUnitLoad;
   const candidates = plans.flatMap((plan, layer) =>
-    improveOne(plan, layer, input, pricePerCopy / 2),
+    findCandidates(plan, layer, input, copyCostInLoad / 2),
   );
-  const chosen = chooseAffordable(candidates, input, pricePerCopy);
-  const result = plansOf(input);
+  const chosen = selectWithinBudget(candidates, input, copyCostInLoad);
+  const result = layerPlansOf(input);
   let copies = 0;
   for (const { layer, change } of chosen) {
     improveLayer.applyChange(result[layer], change);
     copies += change.copies;
   }
-  const saved = worth * (slowestBefore - totalSlowest(result));
+  const savedMilliseconds =
+    millisecondsPerUnitLoad * (maxLoadBefore - totalMaxRankLoad(result));
   return {
     places: result.map((plan) => plan.ranksOf),
     changes: chosen.length,
@@ -74,12 +76,12 @@
     megabytes: copies * input.megabytesPerExpert,
     skewBefore,
     skewAfter: meanSkew(result),
-    savedMilliseconds: saved,
-    netMilliseconds: saved - copies * price,
+    savedMilliseconds,
+    netMilliseconds: savedMilliseconds - copies * copyCostMilliseconds,
   };
 }
 
-function plansOf(input: PlacementInput): layerPlan.LayerPlan[] {
+function layerPlansOf(input: PlacementInput): layerPlan.LayerPlan[] {
   return input.load.map(
     (load, layer) =>
       new layerPlan.LayerPlan(load, input.places[layer], input.ranks),
@@ -87,20 +89,20 @@
 }
 
 /** All changes of one layer in order, each with its gain. */
-function improveOne(
+function findCandidates(
   plan: layerPlan.LayerPlan,
   layer: number,
   input: PlacementInput,
-  smallestGain: number,
+  minGainPerCopy: number,
 ): Candidate[] {
   const candidates: Candidate[] = [];
-  const most = input.ranks * input.slots;
-  for (let count = 0; count < most; count++) {
-    const before = plan.slowest;
-    const change = improveLayer.bestChange(plan, input.slots, smallestGain);
+  const maxChanges = input.ranks * input.slots;
+  for (let count = 0; count < maxChanges; count++) {
+    const before = plan.maxRankLoad;
+    const change = improveLayer.bestChange(plan, input.slots, minGainPerCopy);
     if (!change) break;
     improveLayer.applyChange(plan, change);
-    candidates.push({ layer, change, gain: before - plan.slowest });
+    candidates.push({ layer, change, gain: before - plan.maxRankLoad });
   }
   return candidates;
 }
@@ -110,36 +112,36 @@
  * or not at all. Runs of changes compete by gain per copy; a run is worth it
  * when its mean gain for each copy is above the price.
  */
-function chooseAffordable(
+function selectWithinBudget(
   candidates: Candidate[],
   input: PlacementInput,
-  pricePerCopy: number,
+  copyCostInLoad: number,
 ): Candidate[] {
-  const runs = splitIntoRuns(candidates);
-  const budget = input.megabytesLimit / input.megabytesPerExpert;
-  const blocked = new Set<number>();
+  const batches = splitIntoBatches(candidates);
+  const copyBudget = input.megabytesLimit / input.megabytesPerExpert;
+  const blockedLayers = new Set<number>();
   const chosen: Candidate[] = [];
   let copies = 0;
-  runs.sort((left, right) => right.rate - left.rate);
-  for (const run of runs) {
-    if (run.rate <= pricePerCopy) break;
-    if (blocked.has(run.layer)) continue;
-    if (copies + run.copies > budget) {
-      blocked.add(run.layer);
+  batches.sort((left, right) => right.gainPerCopy - left.gainPerCopy);
+  for (const batch of batches) {
+    if (batch.gainPerCopy <= copyCostInLoad) break;
+    if (blockedLayers.has(batch.layer)) continue;
+    if (copies + batch.copies > copyBudget) {
+      blockedLayers.add(batch.layer);
       continue;
     }
-    copies += run.copies;
-    chosen.push(...run.candidates);
+    copies += batch.copies;
+    chosen.push(...batch.candidates);
   }
   return chosen;
 }
 
-interface Run {
+interface Batch {
   layer: number;
   candidates: Candidate[];
   copies: number;
   /** Gain per copy. */
-  rate: number;
+  gainPerCopy: number;
 }
 
 /**
@@ -147,51 +149,53 @@
  * convex hull). A change that alone gains nothing, as two ranks share the peak,
  * joins the one after it.
  */
-function splitIntoRuns(candidates: Candidate[]): Run[] {
-  const byLayer = new Map<number, Run[]>();
+function splitIntoBatches(candidates: Candidate[]): Batch[] {
+  const byLayer = new Map<number, Batch[]>();
   for (const candidate of candidates) {
     const { layer, gain, change } = candidate;
-    const runs = byLayer.get(layer) ?? [];
-    byLayer.set(layer, runs);
-    let run: Run = {
+    const batches = byLayer.get(layer) ?? [];
+    byLayer.set(layer, batches);
+    let batch: Batch = {
       layer,
       candidates: [candidate],
       copies: change.copies,
-      rate: gain / change.copies,
+      gainPerCopy: gain / change.copies,
     };
     for (
-      let last = runs.at(-1);
-      last && last.rate <= run.rate;
-      last = runs.at(-1)
+      let previous = batches.at(-1);
+      previous && previous.gainPerCopy <= batch.gainPerCopy;
+      previous = batches.at(-1)
     ) {
-      runs.pop();
-      const copies = last.copies + run.copies;
-      const total = last.rate * last.copies + run.rate * run.copies;
-      run = {
+      batches.pop();
+      const copies = previous.copies + batch.copies;
+      const totalGain =
+        previous.gainPerCopy * previous.copies +
+        batch.gainPerCopy * batch.copies;
+      batch = {
         layer,
-        candidates: [...last.candidates, ...run.candidates],
+        candidates: [...previous.candidates, ...batch.candidates],
         copies,
-        rate: total / copies,
+        gainPerCopy: totalGain / copies,
       };
     }
-    runs.push(run);
+    batches.push(batch);
   }
   return [...byLayer.values()].flat();
 }
 
-function totalSlowest(plans: layerPlan.LayerPlan[]): number {
-  return plans.reduce((sum, plan) => sum + plan.slowest, 0);
+function totalMaxRankLoad(plans: layerPlan.LayerPlan[]): number {
+  return plans.reduce((sum, plan) => sum + plan.maxRankLoad, 0);
 }
 
 /** Slowest over mean rank load, over all layers together. */
 export function meanSkew(plans: layerPlan.LayerPlan[]): number {
-  let slowest = 0;
-  let mean = 0;
+  let maxLoad = 0;
+  let meanLoad = 0;
   for (const plan of plans) {
-    slowest += plan.slowest;
-    mean += plan.rankLoad.reduce((sum, load) => sum + load, 0) / plan.ranks;
+    maxLoad += plan.maxRankLoad;
+    meanLoad += plan.rankLoad.reduce((sum, load) => sum + load, 0) / plan.ranks;
   }
-  return mean > 0 ? slowest / mean : 1;
+  return meanLoad > 0 ? maxLoad / meanLoad : 1;
 }
 
 /** Skew of places under a load. */
@@ -202,7 +206,8 @@
 ): number {
   return meanSkew(
     load.map(
-      (one, layer) => new layerPlan.LayerPlan(one, places[layer], ranks),
+      (layerLoad, layer) =>
+        new layerPlan.LayerPlan(layerLoad, places[layer], ranks),
     ),
   );
 }
--- a/packages/daemon/src/placement/plan_quick.ts
+++ b/packages/daemon/src/placement/plan_quick.ts
@@ -15,11 +15,11 @@
    * Part of the time of all layers' slowest ranks that a copy must save: what
    * loading it costs.
    */
-  leastGainOfCopy: number;
+  minGainSharePerCopy: number;
   /** Experts that one rank loads at most, over all layers. */
-  copiesPerRank: number;
+  maxCopiesPerRank: number;
   /** Experts that one rank loads at most in one layer. */
-  copiesPerRankAndLayer: number;
+  maxCopiesPerRankAndLayer: number;
 }
 
 /** A plan with what it is expected to gain. */
@@ -44,44 +44,49 @@
     (load, layer) =>
       new layerPlan.LayerPlan(load, input.places[layer], input.ranks),
   );
-  const loads = new CopyCounts(input);
+  const copyCounts = new CopyCounts(input);
   const skewBefore = planPlacement.meanSkew(plans);
-  const slowest = plans.reduce((sum, plan) => sum + plan.slowest, 0);
-  const leastGain = slowest * input.leastGainOfCopy;
+  const totalMaxRankLoad = plans.reduce(
+    (sum, plan) => sum + plan.maxRankLoad,
+    0,
+  );
+  const minGain = totalMaxRankLoad * input.minGainSharePerCopy;
   const findChange = (layer: number) =>
-    improveLayer.bestChange(plans[layer], input.slots, leastGain, (rank) =>
-      loads.allowsRank(layer, rank),
+    improveLayer.bestChange(plans[layer], input.slots, minGain, (rank) =>
+      copyCounts.allowsRank(layer, rank),
     );
   const candidates = plans.map((_, layer) => findChange(layer));
   for (;;) {
-    const layer = bestOf(candidates);
+    const layer = layerWithBestCandidate(candidates);
     if (layer < 0) break;
     const change = candidates[layer] as improveLayer.Change;
-    loads.add(layer, change);
+    copyCounts.add(layer, change);
     improveLayer.applyChange(plans[layer], change);
     for (let other = 0; other < plans.length; other++) {
-      const stale = candidates[other];
+      const candidate = candidates[other];
       // A rank that may load no more rules out changes planned before.
-      const blocked = stale && !loads.allows(other, stale);
+      const blocked = candidate && !copyCounts.allows(other, candidate);
       if (other !== layer && !blocked) continue;
       candidates[other] = findChange(other);
     }
   }
   return {
     places: plans.map((plan) => plan.ranksOf),
-    copies: loads.total,
-    mostCopiesOfRank: loads.mostOfRank,
+    copies: copyCounts.total,
+    mostCopiesOfRank: copyCounts.maxPerRank,
     skewBefore,
     skewAfter: planPlacement.meanSkew(plans),
   };
 }
 
-function bestOf(candidates: (improveLayer.Change | undefined)[]): number {
+function layerWithBestCandidate(
+  candidates: (improveLayer.Change | undefined)[],
+): number {
   let best = -1;
-  let most = 0;
+  let bestGain = 0;
   candidates.forEach((candidate, layer) => {
-    if (!candidate || candidate.gainPerCopy <= most) return;
-    most = candidate.gainPerCopy;
+    if (!candidate || candidate.gainPerCopy <= bestGain) return;
+    bestGain = candidate.gainPerCopy;
     best = layer;
   });
   return best;
@@ -89,19 +94,19 @@
 
 /** Experts that each rank has to load for the changes made so far. */
 class CopyCounts {
-  readonly #ofRank: number[];
-  readonly #ofRankAndLayer: number[][];
+  readonly #byRank: number[];
+  readonly #byLayerAndRank: number[][];
   total = 0;
 
   constructor(readonly input: QuickPlanInput) {
-    this.#ofRank = new Array<number>(input.ranks).fill(0);
-    this.#ofRankAndLayer = input.load.map(() =>
+    this.#byRank = new Array<number>(input.ranks).fill(0);
+    this.#byLayerAndRank = input.load.map(() =>
       new Array<number>(input.ranks).fill(0),
     );
   }
 
-  get mostOfRank(): number {
-    return Math.max(...this.#ofRank);
+  get maxPerRank(): number {
+    return Math.max(...this.#byRank);
   }
 
   /** Whether the ranks that a change has load an expert may load one more. */
@@ -111,15 +116,15 @@
 
   /** Whether a rank may load one more expert of a layer. */
   allowsRank(layer: number, rank: number): boolean {
-    const { copiesPerRank, copiesPerRankAndLayer } = this.input;
-    if (this.#ofRank[rank] >= copiesPerRank) return false;
-    return this.#ofRankAndLayer[layer][rank] < copiesPerRankAndLayer;
+    const { maxCopiesPerRank, maxCopiesPerRankAndLayer } = this.input;
+    if (this.#byRank[rank] >= maxCopiesPerRank) return false;
+    return this.#byLayerAndRank[layer][rank] < maxCopiesPerRankAndLayer;
   }
 
   add(layer: number, change: improveLayer.Change): void {
     for (const rank of ranksLoading(change)) {
-      this.#ofRank[rank]++;
-      this.#ofRankAndLayer[layer][rank]++;
+      this.#byRank[rank]++;
+      this.#byLayerAndRank[layer][rank]++;
       this.total++;
     }
   }
--- a/packages/daemon/src/placement/plan_quick_test.ts
+++ b/packages/daemon/src/placement/plan_quick_test.ts
@@ -17,7 +17,7 @@
 }
 
 /** Experts dealt to ranks in turn, as a group starts. */
-function firstPlaces(): number[][][] {
+function initialPlaces(): number[][][] {
   return Array.from({ length: LAYERS }, () =>
     Array.from({ length: EXPERTS }, (_, expert) => [expert % RANKS]),
   );
@@ -28,15 +28,15 @@
     ranks: RANKS,
     slots: 11,
     load: shiftedLoad(seed),
-    places: firstPlaces(),
-    leastGainOfCopy: 0.01,
-    copiesPerRank: 6,
-    copiesPerRankAndLayer: 4,
+    places: initialPlaces(),
+    minGainSharePerCopy: 0.01,
+    maxCopiesPerRank: 6,
+    maxCopiesPerRankAndLayer: 4,
   };
 }
 
 /** Experts that each rank has by the plan and had not before. */
-function newOfRanks(
+function copiesByRank(
   before: number[][][],
   after: number[][][],
   layer: number,
@@ -57,23 +57,31 @@
     t.true(plan.skewAfter < plan.skewBefore * 0.8);
     const total = new Array<number>(RANKS).fill(0);
     for (let layer = 0; layer < LAYERS; layer++) {
-      const added = newOfRanks(input.places, plan.places, layer);
+      const added = copiesByRank(input.places, plan.places, layer);
       added.forEach((count, rank) => (total[rank] += count));
-      t.true(Math.max(...added) <= input.copiesPerRankAndLayer);
+      t.true(Math.max(...added) <= input.maxCopiesPerRankAndLayer);
       for (let rank = 0; rank < RANKS; rank++) {
-        const held = plan.places[layer].filter((ranks) => ranks.includes(rank));
-        t.true(held.length <= input.slots);
+        const experts = plan.places[layer].filter((ranks) =>
+          ranks.includes(rank),
+        );
+        t.true(experts.length <= input.slots);
       }
       t.true(plan.places[layer].every((ranks) => ranks.length > 0));
     }
-    t.true(Math.max(...total) <= input.copiesPerRank);
+    t.true(Math.max(...total) <= input.maxCopiesPerRank);
   });
 }
 
 // Copies are paid for: where nobody waits only the worst peaks are levelled.
 test("dearer copies give a plan with fewer of them", (t) => {
-  const cheap = planQuick.planQuick({ ...inputOf(1), leastGainOfCopy: 0.005 });
-  const dear = planQuick.planQuick({ ...inputOf(1), leastGainOfCopy: 0.04 });
-  t.true(dear.copies < cheap.copies);
-  t.true(dear.skewAfter >= cheap.skewAfter);
+  const cheap = planQuick.planQuick({
+    ...inputOf(1),
+    minGainSharePerCopy: 0.005,
+  });
+  const costly = planQuick.planQuick({
+    ...inputOf(1),
+    minGainSharePerCopy: 0.04,
+  });
+  t.true(costly.copies < cheap.copies);
+  t.true(costly.skewAfter >= cheap.skewAfter);
 });
--- a/packages/daemon/src/rank_group/map_planner.ts
+++ b/packages/daemon/src/rank_group/map_planner.ts
@@ -91,9 +91,9 @@
       slots: shape.expertSlots,
       load: demand.load,
       places,
-      leastGainOfCopy,
-      copiesPerRank: worthOfCopy.copiesPerRank(shape),
-      copiesPerRankAndLayer: shape.spareSlots,
+      minGainSharePerCopy: leastGainOfCopy,
+      maxCopiesPerRank: worthOfCopy.copiesPerRank(shape),
+      maxCopiesPerRankAndLayer: shape.spareSlots,
     });
     this.#noteSkew(plan.skewBefore, now);
     const share = 1 - plan.skewAfter / plan.skewBefore;
