--- a/packages/daemon/src/placement/plan_quick_test.ts
+++ b/packages/daemon/src/placement/plan_quick_test.ts
@@ -8,7 +8,10 @@
 const EXPERTS = 64;
 const LAYERS = 6;
 
-/** Demand of one shift: a few experts of each layer take most of the choices. */
+/**
+ * Load by layer and expert after one shift of demand: in each layer a few
+ * experts get most of the activations.
+ */
 function shiftedLoad(seed: number): number[][] {
   const random = new common.Random(seed);
   return Array.from({ length: LAYERS }, () =>
@@ -16,7 +19,7 @@
   );
 }
 
-/** Experts dealt to ranks in turn, as a group starts. */
+/** Placement of a newly formed group: one replica each, to ranks in turn. */
 function initialPlaces(): number[][][] {
   return Array.from({ length: LAYERS }, () =>
     Array.from({ length: EXPERTS }, (_, expert) => [expert % RANKS]),
@@ -35,7 +38,7 @@
   };
 }
 
-/** Experts that each rank has by the plan and had not before. */
+/** Number of experts of a layer that each rank must load for a plan. */
 function copiesByRank(
   before: number[][][],
   after: number[][][],
@@ -51,7 +54,7 @@
 }
 
 for (const seed of [1, 2, 3, 4]) {
-  test(`a plan after a shift lowers the peak within its bounds, seed ${seed}`, (t) => {
+  test(`after a shift of demand, a plan lowers peak over mean rank load by a fifth within slot and copy limits, seed ${seed}`, (t) => {
     const input = inputOf(seed);
     const plan = planQuick.planQuick(input);
     t.true(plan.skewAfter < plan.skewBefore * 0.8);
@@ -72,8 +75,9 @@
   });
 }
 
-// Copies are paid for: where nobody waits only the worst peaks are levelled.
-test("dearer copies give a plan with fewer of them", (t) => {
+// Loading a copy has a cost. While no request waits, only lowering the highest
+// rank loads repays it.
+test("a higher cost per copy gives a plan with fewer copies", (t) => {
   const cheap = planQuick.planQuick({
     ...inputOf(1),
     minGainSharePerCopy: 0.005,
