--- a/packages/daemon/src/placement/defer_placement.ts
+++ b/packages/daemon/src/placement/defer_placement.ts
@@ -1,15 +1,19 @@
 import type * as placementDecision from "./placement_decision.ts";
 import type * as surgeClock from "../forecast/surge_clock.ts";
 
-/** Time before a surge in which no switch begins: loading takes as long. */
-const SURGE_GUARD_MILLISECONDS = 60_000;
-/** How often the gain must repay the cost for a switch in a surge. */
+/**
+ * Time before an expected surge in which a new placement is deferred. Loading
+ * the experts takes as long.
+ */
+const GUARD_MILLISECONDS = 60_000;
+/** Ratio of gain to cost from which a placement is changed despite a surge. */
 const MIN_GAIN_TO_COST_RATIO_IN_SURGE = 4;
 
 /**
- * Whether a change is put off because of a surge, now or about to come. Moving
- * experts takes bandwidth and holds requests up when they are waited for most;
- * a gain of several times the cost is worth it all the same.
+ * Whether a new placement is deferred because of a surge, current or expected
+ * soon. Moving experts takes bandwidth and delays requests at the time of the
+ * highest load. A gain of several times the cost justifies the change
+ * nevertheless.
  */
 export function isDeferred(parameters: {
   decision: placementDecision.PlacementDecision;
@@ -17,8 +21,7 @@
   wallMilliseconds: number;
 }): boolean {
   const { decision, clock, wallMilliseconds } = parameters;
-  if (!clock.expectsSurge(wallMilliseconds, SURGE_GUARD_MILLISECONDS))
-    return false;
+  if (!clock.expectsSurge(wallMilliseconds, GUARD_MILLISECONDS)) return false;
   const { savedMilliseconds, netMilliseconds } = decision;
   const costMilliseconds = savedMilliseconds - netMilliseconds;
   return savedMilliseconds < MIN_GAIN_TO_COST_RATIO_IN_SURGE * costMilliseconds;
--- a/packages/daemon/src/placement/full_repack.ts
+++ b/packages/daemon/src/placement/full_repack.ts
@@ -1,9 +1,11 @@
 import type * as planPlacement from "./plan_placement.ts";
 
 /**
- * Baseline: makes each layer's map anew, without regard to what is moved. Slots
- * go to the experts with the heaviest replicas, and replicas to the lightest
- * ranks, heaviest first (longest processing time).
+ * Baseline for comparison with `planPlacement`: places the experts of each
+ * layer from scratch, whatever that costs in copies. Free slots go to the
+ * experts with the most heavily loaded replicas. Replicas then go to the least
+ * loaded ranks, the heaviest first (longest processing time first). Returns the
+ * ranks of each expert by layer.
  */
 export function fullRepack(
   input: Pick<planPlacement.PlacementInput, "ranks" | "slots" | "load">,
@@ -13,7 +15,10 @@
   );
 }
 
-/** Replicas per expert: the next slot goes to the heaviest replica. */
+/**
+ * Number of replicas of each expert of a layer. Every expert gets one, and each
+ * remaining slot goes to the expert whose replicas have the highest load.
+ */
 export function replicaCounts(
   load: ArrayLike<number>,
   input: { ranks: number; slots: number },
@@ -35,7 +40,10 @@
   return counts;
 }
 
-/** Puts replicas on ranks, heaviest first, each on the lightest with room. */
+/**
+ * Places the replicas of a layer, those with the highest load first, each on
+ * the least loaded rank that has a free slot. Returns the ranks of each expert.
+ */
 export function packLayer(
   load: ArrayLike<number>,
   counts: number[],
@@ -55,7 +63,8 @@
       if (used[rank] >= input.slots || places[expert].includes(rank)) continue;
       if (lightest < 0 || rankLoad[rank] < rankLoad[lightest]) lightest = rank;
     }
-    // No rank with room lacks this expert: one replica less is still right.
+    // Every rank with a free slot has this expert already. The map stays valid
+    // without the replica.
     if (lightest < 0) continue;
     rankLoad[lightest] += share(expert);
     used[lightest]++;
@@ -64,7 +73,7 @@
   return places;
 }
 
-/** Copies that a change from one map to another must load. */
+/** Number of experts that ranks must load to change from one map to another. */
 export function copiesBetween(
   before: number[][][],
   after: number[][][],
--- a/packages/daemon/src/placement/improve_layer.ts
+++ b/packages/daemon/src/placement/improve_layer.ts
@@ -1,42 +1,52 @@
 import type * as layerPlan from "./layer_plan.ts";
 
-/** Kinds of change to a layer. */
+/** Kinds of change to the placement of a layer's experts. */
 export enum ChangeKind {
-  /** A further replica in a free slot. */
+  /** A free slot gets one more replica of an expert. */
   Replicate = "replicate",
   /** A replica moves into a free slot. */
   Move = "move",
-  /** Two replicas change places. */
+  /** Replicas of two experts exchange their ranks. */
   Swap = "swap",
-  /** A replica gives way to one of a hotter expert. */
+  /** One more replica of an expert replaces a replica of another expert. */
   Displace = "displace",
 }
 
-/** One change; `copies` counts the experts whose weights must be loaded. */
+/** One change to the placement of a layer's experts. */
 export interface Change {
   kind: ChangeKind;
   expert: number;
+  /** Rank with the highest load, which the change relieves. */
   from: number;
+  /** Rank that gets a replica of the expert. */
   to: number;
-  /** Expert swapped or displaced; -1 if none. */
+  /** The second expert of a swap, or the displaced one; -1 if there is none. */
   other: number;
+  /** Number of experts that ranks must load for the change. */
   copies: number;
-  /** How much lower the highest load of the ranks concerned gets per copy. */
+  /**
+   * Decrease of the highest load among the ranks concerned, divided by
+   * `copies`, in the unit of load.
+   */
   gainPerCopy: number;
 }
 
-/** Ranks looked at as new places of an expert. */
+/**
+ * Number of ranks, the least loaded ones, considered as targets of a change.
+ */
 const MAX_TARGET_RANKS = 6;
 /**
- * Smallest improvement that is worth looking at, as a share of the load. Below
- * it a plan goes on for long with changes that noise undoes.
+ * Least gain of a change for each copy, as a share of the highest rank load.
+ * With a lower value, planning takes long and makes changes that noise in the
+ * load reverses.
  */
 const MIN_GAIN_SHARE = 2e-3;
 
 /**
- * The change that lowers the load of the slowest rank most per copy without
- * raising another above it, or `undefined` if there is none. `mayLoad`
- * rules out ranks that may not load a further expert.
+ * Finds the change that relieves the rank with the highest load most for each
+ * copy, without raising another rank to that load. Returns `undefined` if no
+ * change gains more than `minGainPerCopy`, in the unit of load. Ranks for which
+ * `mayLoad` returns false get no further expert.
  */
 export function bestChange(
   plan: layerPlan.LayerPlan,
@@ -46,7 +56,8 @@
 ): Change | undefined {
   const from = plan.mostLoadedRank;
   const peak = plan.rankLoad[from];
-  // Scalars and not objects: thousands are weighed for each that is made.
+  // Scalars instead of an object for each change, because thousands of changes
+  // are compared for each one that is made.
   let bestKind: ChangeKind | undefined;
   let bestExpert = -1;
   let bestTo = -1;
@@ -85,7 +96,8 @@
             peak - share + otherShare,
             toLoad + share - otherShare,
           );
-          // Both experts must be loaded at their new places.
+          // A swap takes two copies: each expert must be loaded at its new
+          // rank.
           const gain = (peak - swapped) / 2;
           if (gain > bestGain) {
             bestGain = gain;
@@ -125,7 +137,10 @@
   };
 }
 
-/** Whether the other ranks of an expert can take over a removed replica. */
+/**
+ * Whether the remaining ranks of an expert stay below the highest load after
+ * one replica is removed and each of them takes on `addedLoad`.
+ */
 function canAbsorb(
   plan: layerPlan.LayerPlan,
   ranks: number[],
@@ -140,7 +155,7 @@
   return true;
 }
 
-/** Makes a change. */
+/** Applies a change to a layer's plan. */
 export function applyChange(plan: layerPlan.LayerPlan, change: Change): void {
   const { kind, expert, from, to, other } = change;
   switch (kind) {
--- a/packages/daemon/src/placement/layer_plan.ts
+++ b/packages/daemon/src/placement/layer_plan.ts
@@ -1,6 +1,11 @@
-/** Replicas of one layer while a plan is made. */
+/**
+ * Placement of one layer's expert replicas, and the resulting load of each
+ * rank, while a plan is made. Adding, removing and moving replicas update both.
+ */
 export class LayerPlan {
-  /** Load of each rank: every replica of an expert takes an equal part. */
+  /**
+   * Load of each rank. An expert's load is divided equally among its replicas.
+   */
   readonly rankLoad: Float64Array;
   /** Experts on each rank. */
   readonly expertsOn: number[][];
@@ -8,8 +13,10 @@
   readonly ranksOf: number[][];
 
   constructor(
+    /** Load of each expert, in any unit. */
     readonly load: ArrayLike<number>,
     places: number[][],
+    /** Number of ranks. */
     readonly ranks: number,
   ) {
     this.ranksOf = places.map((ranksOfExpert) => [...ranksOfExpert]);
@@ -28,7 +35,7 @@
     return this.load[expert] / this.ranksOf[expert].length;
   }
 
-  /** Load of the slowest rank. */
+  /** Load of the rank with the highest load. */
   get maxRankLoad(): number {
     let highest = 0;
     for (const load of this.rankLoad) highest = Math.max(highest, load);
@@ -44,7 +51,7 @@
     return mostLoaded;
   }
 
-  /** The `count` ranks with the lowest load. */
+  /** The `count` ranks with the lowest load, in ascending order of load. */
   leastLoadedRanks(count: number): number[] {
     const chosen: number[] = [];
     for (let rank = 0; rank < this.ranks; rank++) {
@@ -62,7 +69,7 @@
     return chosen;
   }
 
-  /** Adds a replica; the others of the expert get lighter. */
+  /** Adds a replica, which lowers the load of the expert's other replicas. */
   add(expert: number, rank: number): void {
     const ranks = this.ranksOf[expert];
     const before = this.share(expert);
@@ -73,7 +80,10 @@
     this.rankLoad[rank] += after;
   }
 
-  /** Removes a replica that is not the last; the others get heavier. */
+  /**
+   * Removes a replica, which raises the load of the expert's other replicas. It
+   * must not be the last one.
+   */
   remove(expert: number, rank: number): void {
     const ranks = this.ranksOf[expert];
     const before = this.share(expert);
--- a/packages/daemon/src/placement/placement_decision.ts
+++ b/packages/daemon/src/placement/placement_decision.ts
@@ -2,31 +2,47 @@
 import * as planInWorker from "./plan_in_worker.ts";
 import * as planPlacement from "./plan_placement.ts";
 
-/** Inputs too small for a worker to be worth its start. */
+/**
+ * Largest input, as layers times experts times ranks, that is planned on the
+ * main thread. For smaller inputs, starting a worker costs more than it saves.
+ */
 const MAX_MAIN_THREAD_INPUT_SIZE = 16_384;
 /**
- * Gain below this share of the present step part is noise: acting on it would
- * move experts to and fro.
+ * Least decrease of the skew, as a share of the current skew, for which the map
+ * changes. A smaller one is noise, and following it would move experts back and
+ * forth.
  */
 const MIN_GAIN_SHARE = 0.02;
 
-/** Whether to change the map, with the figures that explain it. */
+/** Whether to change the map, and the figures that explain the decision. */
 export interface PlacementDecision {
   kind: "keep" | "change";
-  /** The map to use; the present one if it is kept. */
+  /** Ranks of each expert by layer: the new placement, or else the current. */
   places: number[][][];
+  /** Skew of the current placement under the expected load. */
   skewBefore: number;
+  /** Skew of the planned placement under the expected load. */
   skewAfter: number;
+  /** Number of changes in the plan. */
   changes: number;
+  /** Size of the weights that ranks must load. */
   megabytes: number;
+  /** Time that the plan saves over the horizon. */
   savedMilliseconds: number;
+  /** Time saved less the cost of loading. */
   netMilliseconds: number;
 }
 
-/** Decides whether a new map repays what it costs to move. */
+/**
+ * Plans a new placement for the expected load and decides whether its gain
+ * repays the cost of moving experts.
+ */
 export async function decidePlacement(parameters: {
+  /** Expected text tokens per second by layer and expert. */
   load: number[][];
+  /** Ranks of each expert by layer, as in force. */
   places: number[][][];
+  /** Number of ranks. */
   ranks: number;
   experts: configuration.Experts;
   placement: configuration.Preset["placement"];
--- a/packages/daemon/src/placement/plan_in_worker.ts
+++ b/packages/daemon/src/placement/plan_in_worker.ts
@@ -2,8 +2,9 @@
 import type * as planPlacement from "./plan_placement.ts";
 
 /**
- * Makes a plan in a worker thread: at 64 ranks, 256 experts and 60 layers it
- * takes longer than a token may, and would hold up every answer.
+ * Runs `planPlacement` in a worker thread. With 64 ranks, 256 experts and 60
+ * layers, planning takes longer than the time allowed for one text token. On
+ * the main thread it would delay every answer that this process forwards.
  */
 export async function planInWorker(
   input: planPlacement.PlacementInput,
--- a/packages/daemon/src/placement/plan_placement.ts
+++ b/packages/daemon/src/placement/plan_placement.ts
@@ -1,53 +1,61 @@
 import * as improveLayer from "./improve_layer.ts";
 import * as layerPlan from "./layer_plan.ts";
 
-/** What a plan is made from. */
+/** Input of `planPlacement`. */
 export interface PlacementInput {
+  /** Number of ranks. */
   ranks: number;
   /** Expert slots of a rank in one layer. */
   slots: number;
-  /** Expected tokens a second by layer and expert. */
+  /** Expected text tokens per second by layer and expert. */
   load: ArrayLike<number>[];
   /** Ranks of each expert by layer, as in force. */
   places: number[][][];
-  /** Milliseconds a rank takes for one token of one expert. */
+  /** Milliseconds that a rank takes for one text token of one expert. */
   millisecondsPerToken: number;
+  /** Size of the weights of one expert of one layer. */
   megabytesPerExpert: number;
-  /** Milliseconds of step time saved that repay one MB moved. */
+  /** Milliseconds of iteration time saved that repay one megabyte moved. */
   exchangeRate: number;
-  /** Seconds over which a gain is counted. */
+  /** Seconds over which the time saved is added up. */
   horizonSeconds: number;
-  /** Most megabytes that may be moved at once. */
+  /** Megabytes that one plan may move at most. */
   megabytesLimit: number;
 }
 
-/** A plan with what it gains and costs. */
+/** A plan with its gain and cost. */
 export interface PlacementPlan {
+  /** Ranks of each expert by layer. */
   places: number[][][];
+  /** Number of changes in the plan. */
   changes: number;
+  /** Number of experts that ranks must load. */
   copies: number;
+  /** Size of the weights that ranks must load. */
   megabytes: number;
-  /** Slowest over mean rank load, averaged over layers by load. */
+  /** Highest over mean rank load before the plan, weighted by layer load. */
   skewBefore: number;
+  /** Highest over mean rank load after the plan, weighted by layer load. */
   skewAfter: number;
-  /** Milliseconds saved over the horizon. */
+  /** Iteration time saved over the horizon. */
   savedMilliseconds: number;
-  /** Savings less the price of what is moved, in milliseconds. */
+  /** Iteration time saved less the cost of moving experts. */
   netMilliseconds: number;
 }
 
-/** A change with its layer and what it gains for each copy. */
+/** A change that the plan may make. */
 interface Candidate {
   layer: number;
   change: improveLayer.Change;
+  /** Decrease of the layer's highest rank load, in text tokens per second. */
   gain: number;
 }
 
 /**
- * The next expert map: from the one in force, the changes that gain most for
- * the bytes they move, as long as each repays its price. A layer's step part
- * takes as long as its slowest rank, so each layer is improved on its own, and
- * all layers compete for the bytes.
+ * Plans the next expert map. It makes those changes to the map in force that
+ * gain most for the bytes that they move, and only those that repay their cost.
+ * In each iteration a layer takes as long as its slowest rank. Each layer is
+ * therefore improved separately, and all layers compete for the bytes.
  */
 export function planPlacement(input: PlacementInput): PlacementPlan {
   const plans = layerPlansOf(input);
@@ -88,7 +96,12 @@
   );
 }
 
-/** All changes of one layer in order, each with its gain. */
+/**
+ * Improves one layer's plan by one change after the other and returns the
+ * changes in that order. Each relieves the rank with the highest load by more
+ * than `minGainPerCopy` for each copy. The gain for the layer is smaller, or
+ * zero, if other ranks have nearly the same load.
+ */
 function findCandidates(
   plan: layerPlan.LayerPlan,
   layer: number,
@@ -108,9 +121,11 @@
 }
 
 /**
- * Changes of a layer build on each other, so a layer is taken up to some change
- * or not at all. Runs of changes compete by gain per copy; a run is worth it
- * when its mean gain for each copy is above the price.
+ * Selects the changes that repay their cost and fit into the limit on bytes.
+ * Each change of a layer builds on the ones before it, so a layer's changes are
+ * selected from the first one on, without gaps. Batches of changes compete by
+ * gain per copy. A batch repays its cost if its mean gain per copy is above
+ * `copyCostInLoad`.
  */
 function selectWithinBudget(
   candidates: Candidate[],
@@ -136,18 +151,21 @@
   return chosen;
 }
 
+/**
+ * Consecutive changes of one layer that are selected together or not at all.
+ */
 interface Batch {
   layer: number;
   candidates: Candidate[];
   copies: number;
-  /** Gain per copy. */
+  /** Mean gain for each copy. */
   gainPerCopy: number;
 }
 
 /**
- * Cuts each layer's changes into runs of falling gain per copy (its upper
- * convex hull). A change that alone gains nothing, as two ranks share the peak,
- * joins the one after it.
+ * Splits each layer's changes into batches with decreasing gain per copy (the
+ * upper convex hull of gain over copies). A change that gains nothing by
+ * itself, because two ranks have the highest load, joins the change after it.
  */
 function splitIntoBatches(candidates: Candidate[]): Batch[] {
   const byLayer = new Map<number, Batch[]>();
@@ -187,7 +205,10 @@
   return plans.reduce((sum, plan) => sum + plan.maxRankLoad, 0);
 }
 
-/** Slowest over mean rank load, over all layers together. */
+/**
+ * Sum of the layers' highest rank loads over the sum of their mean rank loads;
+ * 1 without load.
+ */
 export function meanSkew(plans: layerPlan.LayerPlan[]): number {
   let maxLoad = 0;
   let meanLoad = 0;
@@ -198,7 +219,7 @@
   return meanLoad > 0 ? maxLoad / meanLoad : 1;
 }
 
-/** Skew of places under a load. */
+/** Skew of a placement under a load by layer and expert. */
 export function skewOf(
   load: ArrayLike<number>[],
   places: number[][][],
--- a/packages/daemon/src/placement/plan_quick.ts
+++ b/packages/daemon/src/placement/plan_quick.ts
@@ -2,8 +2,9 @@
 import * as layerPlan from "./layer_plan.ts";
 import * as planPlacement from "./plan_placement.ts";
 
-/** What a quick plan is made from. */
+/** Input of `planQuick`. */
 export interface QuickPlanInput {
+  /** Number of ranks. */
   ranks: number;
   /** Expert slots of a rank in one layer. */
   slots: number;
@@ -12,32 +13,39 @@
   /** Ranks of each expert by layer, as in force. */
   places: number[][][];
   /**
-   * Part of the time of all layers' slowest ranks that a copy must save: what
-   * loading it costs.
+   * Share of the summed load of all layers' slowest ranks that each copy must
+   * save. It stands for the cost of loading the copy.
    */
   minGainSharePerCopy: number;
-  /** Experts that one rank loads at most, over all layers. */
+  /** Experts that one rank may load at most, over all layers. */
   maxCopiesPerRank: number;
-  /** Experts that one rank loads at most in one layer. */
+  /** Experts that one rank may load at most in one layer. */
   maxCopiesPerRankAndLayer: number;
 }
 
-/** A plan with what it is expected to gain. */
+/** A plan with its expected effect on the skew. */
 export interface QuickPlan {
+  /** Ranks of each expert by layer. */
   places: number[][][];
+  /** Number of experts that all ranks together must load. */
   copies: number;
-  /** Most experts that one rank has to load: loading takes that long. */
+  /**
+   * Number of experts that the rank with the most copies must load. It decides
+   * how long loading takes, because all ranks load at the same time.
+   */
   mostCopiesOfRank: number;
-  /** Slowest over mean rank load, averaged over layers by load. */
+  /** Highest over mean rank load before the plan, weighted by layer load. */
   skewBefore: number;
+  /** Highest over mean rank load after the plan, weighted by layer load. */
   skewAfter: number;
 }
 
 /**
- * The next map where demand changes every few seconds: ranks load their new
- * experts one after the other, so what counts is how many the busiest of them has
- * to load before the map can be used. The changes that gain most come first, over
- * all layers, until no rank may load more.
+ * Plans the next map for a group whose demand changes every few seconds. A rank
+ * loads its new experts one after the other, and the map can be used once the
+ * rank with the most copies has loaded them. The plan therefore limits the
+ * copies of each rank. It makes the changes with the highest gain per copy
+ * first, over all layers, until none gains enough within the limits.
  */
 export function planQuick(input: QuickPlanInput): QuickPlan {
   const plans = input.load.map(
@@ -64,7 +72,8 @@
     improveLayer.applyChange(plans[layer], change);
     for (let other = 0; other < plans.length; other++) {
       const candidate = candidates[other];
-      // A rank that may load no more rules out changes planned before.
+      // The candidates of other layers stay valid unless they load an expert at
+      // a rank that has now reached its limit.
       const blocked = candidate && !copyCounts.allows(other, candidate);
       if (other !== layer && !blocked) continue;
       candidates[other] = findChange(other);
@@ -79,6 +88,7 @@
   };
 }
 
+/** Layer whose candidate has the highest gain per copy; -1 if there is none. */
 function layerWithBestCandidate(
   candidates: (improveLayer.Change | undefined)[],
 ): number {
@@ -92,7 +102,7 @@
   return best;
 }
 
-/** Experts that each rank has to load for the changes made so far. */
+/** Number of experts that each rank must load for the changes made so far. */
 class CopyCounts {
   readonly #byRank: number[];
   readonly #byLayerAndRank: number[][];
@@ -109,7 +119,7 @@
     return Math.max(...this.#byRank);
   }
 
-  /** Whether the ranks that a change has load an expert may load one more. */
+  /** Whether all ranks that must load an expert for a change may do so. */
   allows(layer: number, change: improveLayer.Change): boolean {
     return ranksLoading(change).every((rank) => this.allowsRank(layer, rank));
   }
@@ -130,7 +140,7 @@
   }
 }
 
-/** Ranks that have to load an expert for a change. */
+/** Ranks that must load an expert for a change. */
 function ranksLoading(change: improveLayer.Change): number[] {
   return change.kind === improveLayer.ChangeKind.Swap
     ? [change.from, change.to]
