--- a/packages/daemon/src/expert_map/coordinators.ts
+++ b/packages/daemon/src/expert_map/coordinators.ts
@@ -9,10 +9,12 @@
 import * as leaseModule from "../lease/lease.ts";
 import type * as mapStore from "./map_store.ts";
 
+/** Interval between checks of which groups to coordinate. */
 const RECONCILE_INTERVAL_MILLISECONDS = 500;
+/** Time after which the outcome of an unanswered order counts as unknown. */
 const ORDER_TIMEOUT_MILLISECONDS = 2_500;
 
-/** What coordinating groups needs of the rest of the entry. */
+/** Dependencies of `Coordinators`, supplied by its entry. */
 export interface CoordinatorsParameters {
   host: string;
   incarnation: string;
@@ -21,36 +23,42 @@
   history: common.HistoryRecorder;
   keeper: configurationKeeper.ConfigurationKeeper;
   runners: runnerDirectory.RunnerDirectory;
-  /** Entries alive, this one included. */
+  /** Host names of all live entries, including this one. */
   entries: () => string[];
   table: backingServices.TableService;
   maps: mapStore.MapStore;
+  /** Duration of a group's lease. */
   leaseMilliseconds: number;
   random: common.Random;
 }
 
 /**
- * Runs a coordinator for each group whose preferred entry this is. Preference
- * by rendezvous hashing keeps all but one entry from even asking for the lease,
- * and spreads groups over entries.
+ * Runs a coordinator for each group that rendezvous hashing assigns to this
+ * entry. A coordinator plans the group's expert maps and switches its ranks to
+ * them. The hashing spreads groups over the entries, and all other entries
+ * request no lease for the group.
  */
 export class Coordinators {
   readonly #running = new Map<
     string,
     { coordinator: groupCoordinator.GroupCoordinator; stop: AbortController }
   >();
+  /** Map switches that the coordinators of this entry are running now. */
   #switchesInProgress = 0;
 
   constructor(readonly parameters: CoordinatorsParameters) {}
 
-  /** What the state dump says of the groups coordinated here. */
+  /** State of the groups that this entry coordinates, for the state dump. */
   describe(): unknown {
     return [...this.#running.values()].map(({ coordinator }) =>
       coordinator.describe(),
     );
   }
 
-  /** Follows members and runners until the signal aborts. */
+  /**
+   * Starts and stops coordinators as the live entries and the linked runners
+   * change, until the signal aborts.
+   */
   async run(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
       this.#reconcile(signal);
@@ -58,6 +66,9 @@
     }
   }
 
+  /**
+   * Stops coordinators of groups assigned elsewhere and starts missing ones.
+   */
   #reconcile(signal: AbortSignal): void {
     const { runners, entries, host } = this.parameters;
     const groups = new Map<string, runnerLink.RunnerLink>();
@@ -127,6 +138,7 @@
   }
 }
 
+/** Expert settings of a model service; `undefined` for any other service. */
 function expertsOf(
   service: configuration.Service | undefined,
 ): configuration.Experts | undefined {
--- a/packages/daemon/src/expert_map/group_coordinator.ts
+++ b/packages/daemon/src/expert_map/group_coordinator.ts
@@ -13,17 +13,21 @@
 import * as switchMap from "./switch_map.ts";
 import * as takeOver from "./take_over.ts";
 
-/** What coordinating a group needs. */
+/** Dependencies of a group's coordinator. */
 export interface GroupCoordinatorParameters {
   group: string;
+  /** Lease that lets one entry at a time coordinate the group. */
   lease: leaseModule.Lease;
   maps: mapStore.MapStore;
-  /** All ranks, or `undefined` while some are not linked. */
+  /** Ports to all ranks, or `undefined` while a rank cannot be reached. */
   rankPorts: () => rankPort.RankPort[] | undefined;
+  /** Expert settings of the group's service, if it has any. */
   experts: () => configuration.Experts | undefined;
+  /** The preset in force, if the entry has a configuration. */
   preset: () => configuration.Preset | undefined;
-  /** Whether a switch may start now, and room for one more. */
+  /** Whether the entry's limit on simultaneous switches allows one more. */
   mayStartSwitch: () => boolean;
+  /** Called with true when a switch starts and with false when it finishes. */
   onSwitching: (switching: boolean) => void;
   logger: common.Logger;
   history: common.HistoryRecorder;
@@ -31,51 +35,65 @@
   renewIntervalMilliseconds: number;
 }
 
+/** Pause before the next try to take over a group that was not reached. */
 const TAKE_OVER_RETRY_MILLISECONDS = 500;
-/** Steps between arming and the switch; all ranks arm in well under that. */
+/**
+ * Least number of iterations between the order to arm and the iteration that
+ * first uses the new map. All ranks are armed after far fewer iterations.
+ */
 const MIN_LEAD_ITERATIONS = 30;
-/** Time for a switch under way to end when its term does. */
+/** Time that a switch in progress has to complete when its term ends. */
 const FINISH_TIMEOUT_MILLISECONDS = 3_000;
-/** Maps made in one term have versions of their own. */
+/** Map versions reserved for each term, so that no two terms share one. */
 const VERSIONS_PER_TERM = 1_000_000;
 
-/** When a coordinator is to end. */
+/** Signals that stop a coordinator. */
 export interface CoordinatorSignals {
-  /** Another entry coordinates the group now, or this one closes. */
+  /** The group is assigned to another entry, or this process closes. */
   stopping: AbortSignal;
-  /** This process closes: nothing can be ordered any more. */
+  /** This process closes, so it can send no more orders. */
   closing: AbortSignal;
 }
 
-/** A term under way. */
+/** The current term and the means to stop it. */
 interface RunningTerm {
   fencing: number;
+  /** Aborts the `stopping` signal of the term. */
   stop: AbortController;
+  /** Aborts the `abandoning` signal of the term. */
   abandon: AbortController;
+  /** Resolves when the term has ended. */
   ended: Promise<void>;
 }
 
-/** What a term runs under. */
+/** Fencing number of a term and the signals that stop it. */
 interface TermParameters {
   fencing: number;
-  /** Begin nothing more. */
+  /** Once aborted, the term only completes the switch in progress. */
   stopping: AbortSignal;
-  /** Give up what is under way too. */
+  /** Once aborted, the term gives up the switch in progress too. */
   abandoning: AbortSignal;
 }
 
-/** Coordinates one group while this entry holds its lease. */
+/**
+ * Coordinates one group while this entry has the group's lease: it reads the
+ * expert load of all ranks at intervals, plans a better placement of experts
+ * and switches the group to the new expert map if the gain repays the cost.
+ * Each time that the lease is acquired, a term with a new fencing number
+ * starts.
+ */
 export class GroupCoordinator {
   readonly #hourlyLoad = new hourShape.HourShape();
   readonly #surgeClock = new surgeClock.SurgeClock();
   #lastPlan: placementDecision.PlacementDecision | undefined;
+  /** Switches committed since this coordinator started. */
   #committedSwitches = 0;
-  /** The term under way. */
+  /** The current term; `undefined` while another entry may have the lease. */
   #term: RunningTerm | undefined;
 
   constructor(readonly parameters: GroupCoordinatorParameters) {}
 
-  /** What the state dump says of the group. */
+  /** State of the group for the state dump. */
   describe(): unknown {
     const { lease, group } = this.parameters;
     const { fencing } = lease;
@@ -90,7 +108,10 @@
     };
   }
 
-  /** Holds the lease and coordinates, term by term. */
+  /**
+   * Acquires and renews the lease and runs a term each time that it has the
+   * lease, until `stopping` aborts.
+   */
   async run(signals: CoordinatorSignals): Promise<void> {
     const { lease, renewIntervalMilliseconds } = this.parameters;
     const { stopping } = signals;
@@ -98,9 +119,11 @@
       const fencing = await lease.renew();
       if (this.#term && this.#term.fencing !== fencing) {
         await this.#endTerm();
-        // The lease may have lapsed and still be ours. The next term needs a
-        // number of its own: versions of maps are made of it, and one version
-        // with two maps would have a rank take the second for done.
+        // The lease may have lapsed without another entry acquiring it, and
+        // renewing it would give the same fencing number again. The next term
+        // needs a new one because map versions are derived from it: with one
+        // version for two maps, a rank with the first map would report the
+        // second as applied.
         await lease.release();
       } else if (fencing !== undefined) {
         this.#term ??= this.#beginTerm(fencing, signals);
@@ -125,9 +148,11 @@
   }
 
   /**
-   * Lets a switch under way come to its end: given up between "arm" and "go", it
-   * would have the whole group hold until a successor has taken over. Safe
-   * without the lease, as a successor's higher number ends it at once.
+   * Ends the term after the switch in progress, if there is one. A switch that
+   * was given up between "arm" and "go" would make the group hold until a
+   * successor has taken over. Continuing without the lease is safe: once ranks
+   * promise a successor's higher fencing number, they refuse this term's
+   * orders.
    */
   async #endTerm(): Promise<void> {
     const term = this.#term;
@@ -139,15 +164,19 @@
     this.#term = undefined;
   }
 
+  /**
+   * Takes the group over and rebalances it periodically until the term stops.
+   */
   async #runTerm(parameters: TermParameters): Promise<void> {
     const { fencing, stopping, abandoning } = parameters;
     let count = 0;
     while (!stopping.aborted) {
       const term = await this.#takeOver(fencing, abandoning);
       if (term === "superseded") {
-        // A higher number was promised while the lease looks held. Keeping the
-        // lease would leave the group with a coordinator that no rank obeys;
-        // given up, it is taken again by someone, under a higher number.
+        // A rank has promised a higher fencing number although this entry
+        // appears to have the lease. With the lease kept, the group would have
+        // a coordinator whose orders the ranks refuse. After the release, an
+        // entry acquires the lease again under a higher number.
         return this.parameters.lease.release();
       }
       if (term === undefined) {
@@ -168,7 +197,11 @@
     return seconds * 1_000;
   }
 
-  /** Has all ranks promise and settles what a predecessor left. */
+  /**
+   * Gets promises from all ranks and completes or cancels a switch that a
+   * predecessor left. Returns the term; `undefined` if some rank was not
+   * reached; or "superseded" if a rank has promised a higher fencing number.
+   */
   async #takeOver(
     fencing: number,
     signal: AbortSignal,
@@ -181,7 +214,8 @@
     const outcome = await takeOver.takeOver({ term, readMap });
     switch (outcome.kind) {
       case "superseded":
-        // The table may have forgotten the number that the ranks remember.
+        // The table service may have lost the fencing number that the ranks
+        // promised; the next one must be higher.
         this.parameters.lease.outdo(outcome.promisedFencing);
         return "superseded";
       case "unreached":
@@ -197,21 +231,24 @@
     }
   }
 
-  /** One look at the group and what follows; false to take over anew. */
+  /**
+   * Inspects the group once and, if that pays off, switches it to a new map
+   * with the given version. Returns false if the group must be taken over
+   * again.
+   */
   async #rebalance(
     term: groupTerm.GroupTerm,
     version: number,
   ): Promise<boolean> {
     const { experts, preset, mayStartSwitch } = this.parameters;
     const ranks = term.sessions.length;
-    const inspection = await inspectGroup.inspectGroup(term);
-    if (!inspection || inspection.version === undefined || inspection.held)
-      return false;
+    const state = await inspectGroup.inspectGroup(term);
+    if (!state || state.version === undefined || state.held) return false;
     const expertSettings = experts();
     const inForce = preset();
     if (!expertSettings || !inForce?.placement.enabled) return true;
     const seconds = inForce.placement.periodSeconds;
-    const load = perSecond(inspection.tokens, seconds);
+    const load = perSecond(state.tokens, seconds);
     if (!hasLoad(load)) return true;
     const now = Date.now();
     this.#hourlyLoad.observe(load, now);
@@ -220,7 +257,7 @@
     const forecast =
       this.#hourlyLoad.forecast(now, horizonMilliseconds) ?? load;
     if (!mayStartSwitch()) return true;
-    const { places } = inspection;
+    const { places } = state;
     const decision = await placementDecision.decidePlacement({
       load: forecast,
       places,
@@ -241,12 +278,16 @@
     }
     return this.#switch({
       term,
-      inForce: { version: inspection.version, places },
+      inForce: { version: state.version, places },
       map: { version, places: inRankOrder(decision.places) },
       experts: expertSettings,
     });
   }
 
+  /**
+   * Stores the new map and switches the group to it. Returns false if the group
+   * must be taken over again.
+   */
   async #switch(parameters: {
     term: groupTerm.GroupTerm;
     inForce: wire.ExpertMap;
@@ -288,6 +329,7 @@
     }
   }
 
+  /** Logs the figures of a decision, whether the map changes or not. */
   #logDecision(decision: placementDecision.PlacementDecision): void {
     const { logger, group } = this.parameters;
     const { skewBefore, skewAfter, changes, megabytes } = decision;
@@ -308,18 +350,22 @@
   }
 }
 
+/** Converts counts of text tokens over a period into rates. */
 function perSecond(tokens: number[][], seconds: number): number[][] {
   return tokens.map((layer) => layer.map((count) => count / seconds));
 }
 
-/** Replicas of each expert by rank, as the ranks' own reports give them. */
+/**
+ * Sorts the ranks of each expert in ascending order, as an inspection of the
+ * group lists them.
+ */
 function inRankOrder(places: wire.ExpertPlaces): wire.ExpertPlaces {
   return places.map((layer) =>
     layer.map((ranks) => [...ranks].sort((left, right) => left - right)),
   );
 }
 
-/** Tokens a second through the experts of one layer, the first. */
+/** Text tokens per second over all experts of the first layer. */
 function tokensPerSecondOf(load: number[][]): number {
   return load[0]?.reduce((sum, rate) => sum + rate, 0) ?? 0;
 }
--- a/packages/daemon/src/expert_map/group_ports.ts
+++ b/packages/daemon/src/expert_map/group_ports.ts
@@ -2,18 +2,19 @@
 import type * as runnerLink from "../dispatch/runner_link.ts";
 import type * as rankPort from "./rank_port.ts";
 
-/** Where the ranks of a group are found. */
+/** Group whose ranks are looked up, and the directory to search. */
 export interface GroupPortsParameters {
   group: string;
   runners: Pick<runnerDirectory.RunnerDirectory, "ofGroup">;
-  /** Time after which the answer to an order counts as unknown. */
+  /** Time after which the outcome of an unanswered order counts as unknown. */
   timeoutMilliseconds: number;
 }
 
 /**
- * Ports to all ranks of a group, or `undefined` while a rank is missing or has
- * two claimants: nobody can tell which engine steps with the group, and orders
- * to the wrong one would leave the other with the old map.
+ * Ports to all ranks of a group, or `undefined` while a rank has no linked
+ * agent or several agents claim it. With several, it is unknown which engine
+ * runs the group's iterations, and an order to the wrong one would leave the
+ * other with the old map.
  */
 export function groupPorts(
   parameters: GroupPortsParameters,
@@ -29,9 +30,10 @@
 }
 
 /**
- * A port that looks the rank's agent up at each order. A host that left the
- * list and came back has a new link; holding on to the old one left a rank armed
- * for good, and the whole group with it, as nobody could tell it "go".
+ * A port that looks up the link to the rank's agent for each order. A host that
+ * is removed from the host list and returns has a new link. A port that used
+ * the old link could not send "go" to an armed rank; that rank would hold
+ * forever, and with it the group.
  */
 function portOf(
   parameters: GroupPortsParameters,
--- a/packages/daemon/src/expert_map/group_term.ts
+++ b/packages/daemon/src/expert_map/group_term.ts
@@ -4,40 +4,47 @@
 import * as rankSession from "./rank_session.ts";
 
 /**
- * Bounds of the pause between repetitions. A group may be holding meanwhile, so
- * it is short; it varies, so that no fault with a rhythm meets every repetition.
+ * Limits of the pause before an order is repeated. The pause is short because
+ * the group may hold meanwhile. It varies so that a periodic fault does not hit
+ * every repetition.
  */
 const MIN_PAUSE_MILLISECONDS = 10;
 const MAX_PAUSE_MILLISECONDS = 60;
+/** Limits of the pause between reads of ranks that were ordered to hold. */
 const MIN_HELD_PAUSE_MILLISECONDS = 1;
 const MAX_HELD_PAUSE_MILLISECONDS = 5;
-/** Times an order that can be given up is given. */
+/** How often an order that may still be given up is sent at most. */
 const MAX_TRIES_PER_ORDER = 3;
 
-/** What a term is made of. */
+/** Parameters of a term. */
 export interface GroupTermParameters {
   group: string;
   fencing: number;
+  /** One port for each rank, in order of rank. */
   ports: rankPort.RankPort[];
+  /** Once aborted, orders whose outcome is unknown are repeated no further. */
   signal: AbortSignal;
   /** Repeats orders without a pause, for tests that have no timers. */
   withoutPauses?: boolean;
 }
 
-/** A map to be staged. */
+/** A map to stage at all ranks. */
 export interface MapStaging {
   map: wire.ExpertMap;
-  /** The same told by its changes, for agents that have the base. */
+  /** The same map as changes to a base, for agents that have that base. */
   changes: wire.MapChanges | undefined;
 }
 
 /**
- * One coordinator's term over a group: a fencing number that all ranks have
- * promised to, and whatever is ordered under it.
+ * One coordinator's term over a group. All ranks promise the term's fencing
+ * number, that is, to refuse orders with a lower one; the coordinator then
+ * sends its orders under that number.
  */
 export class GroupTerm {
+  /** One session for each rank, in order of rank. */
   readonly sessions: rankSession.RankSession[];
   readonly #random: common.Random;
+  /** The call of `establish` in progress, which concurrent callers share. */
   #establishing: Promise<rankSession.RankReply | undefined> | undefined;
 
   constructor(readonly parameters: GroupTermParameters) {
@@ -58,18 +65,23 @@
     return this.parameters.fencing;
   }
 
-  /** States of all ranks as last read. */
+  /** Last state of each rank that has answered an order, in order of rank. */
   get states(): wire.RankState[] {
     return this.sessions.flatMap(({ state }) => state ?? []);
   }
 
   /**
-   * Has all ranks promise, and then has them confirm. A restarted agent forgets
-   * its promise, and a coordinator that was superseded could get it to promise
-   * anew and say go there, while the successor cancels elsewhere: a step with
-   * two maps. After two rounds with the same incarnations, all agents were in
-   * place at a moment when all had promised; whoever asks an agent restarted
-   * since must itself confirm with all others, and is refused by them.
+   * Gets a promise from every rank and then a confirmation of each promise.
+   * Returns the first failure, or `undefined` if all ranks confirmed.
+   *
+   * A restarted agent has lost its promise. Without the confirmations, a
+   * superseded coordinator could get a new promise from that agent and order
+   * "go" there while its successor cancels the switch at the other ranks; an
+   * iteration would then run with two maps. Confirmations by the incarnations
+   * that promised prove that at one moment all of them were running and had
+   * promised. If an agent restarts later, a superseded coordinator must get
+   * confirmations from the other ranks too before it can order anything there,
+   * and they refuse it.
    */
   establish(): Promise<rankSession.RankReply | undefined> {
     this.#establishing ??= this.#establishOnce().finally(() => {
@@ -79,8 +91,9 @@
   }
 
   /**
-   * Gives an order to all, a few times where the answer is lost; the first
-   * failure, if any. For what can still be given up.
+   * Sends an order to all ranks, and repeats it a few times at a rank whose
+   * answer is lost. Returns the first failure, if any. For orders that may
+   * still be given up.
    */
   async orderAll(
     order: wire.Order,
@@ -91,7 +104,7 @@
     return firstFailure(await Promise.all(replies));
   }
 
-  /** Stages a map at all ranks; the first failure, if any. */
+  /** Stages a map at all ranks. Returns the first failure, if any. */
   async stage(staging: MapStaging): Promise<rankSession.RankReply | undefined> {
     const replies = this.sessions.map((session) =>
       this.#stageAt(session, staging),
@@ -99,7 +112,10 @@
     return firstFailure(await Promise.all(replies));
   }
 
-  /** Gives an order to all and returns the states told, if all answered. */
+  /**
+   * Sends an order to all ranks. Returns the states that they report, or
+   * `undefined` if some rank did not confirm that it carried out the order.
+   */
   async orderAndReadStates(
     order: wire.Order,
   ): Promise<wire.RankState[] | undefined> {
@@ -108,8 +124,10 @@
   }
 
   /**
-   * Repeats an order at all ranks until each answer is definite. Orders are
-   * idempotent; when an agent was replaced, the term is established again first.
+   * Sends an order to all ranks and repeats it at each until its outcome is
+   * known or the term's signal aborts. Returns the first failure, if any.
+   * Orders are idempotent. When an agent was replaced, the term is established
+   * again before the next repetition.
    */
   async orderAllUntilFinal(
     order: wire.Order,
@@ -120,12 +138,15 @@
     return firstFailure(await Promise.all(replies));
   }
 
-  /** The pause between repetitions. */
+  /** Waits before an order is repeated. */
   pause(): Promise<void> {
     return this.#pause(MIN_PAUSE_MILLISECONDS, MAX_PAUSE_MILLISECONDS);
   }
 
-  /** A pause about as long as a step, while every rank is kept from stepping. */
+  /**
+   * Waits for about the duration of an iteration, while all ranks are ordered
+   * to hold and no iteration can begin.
+   */
   pauseWhileHolding(): Promise<void> {
     return this.#pause(
       MIN_HELD_PAUSE_MILLISECONDS,
@@ -142,6 +163,7 @@
     );
   }
 
+  /** Stages a map by its changes, or in full at an agent without their base. */
   async #stageAt(
     session: rankSession.RankSession,
     staging: MapStaging,
@@ -168,7 +190,7 @@
     order: wire.Order,
   ): Promise<rankSession.RankReply> {
     const { signal } = this.parameters;
-    let reply = rankSession.unknown("stopped");
+    let reply = rankSession.unknown("coordinator stopped");
     while (!signal.aborted) {
       const failure = session.isBound ? undefined : await this.establish();
       reply = failure ?? (await session.order(order));
@@ -192,8 +214,9 @@
 }
 
 /**
- * Gives an order again when its answer is lost: with many ranks one answer is
- * always being lost somewhere, and a round that must be whole never would be.
+ * Sends an order again while its outcome is unknown, up to a limit. With many
+ * ranks, some answer is lost in almost every round; without repetition, hardly
+ * any round would complete at all ranks.
  */
 async function repeatWhileUnknown(
   send: () => Promise<rankSession.RankReply>,
@@ -206,7 +229,9 @@
   return reply;
 }
 
-/** The first failure; being superseded outweighs any other. */
+/**
+ * The first failure; one that reports a new coordinator comes before others.
+ */
 function firstFailure(
   replies: rankSession.RankReply[],
 ): rankSession.RankReply | undefined {
--- a/packages/daemon/src/expert_map/inspect_group.ts
+++ b/packages/daemon/src/expert_map/inspect_group.ts
@@ -1,19 +1,25 @@
 import * as wire from "@geraniumkeel/wire";
 import type * as groupTerm from "./group_term.ts";
 
-/** What a look at all ranks of a group gave. */
+/** Combined state of all ranks of a group. */
 export interface GroupInspection {
-  /** Tokens by layer and expert since the last look. */
+  /** Text tokens by layer and expert since the previous inspection. */
   tokens: number[][];
-  /** Ranks of each expert by layer, as the ranks themselves tell. */
+  /** Ranks of each expert by layer, as the ranks report them. */
   places: wire.ExpertPlaces;
-  /** Version in force; `undefined` when ranks differ, as in a switch. */
+  /**
+   * Version of the map that all ranks use; `undefined` if ranks use different
+   * ones, as they may during a switch.
+   */
   version: number | undefined;
-  /** Whether a rank holds although no switch is under way. */
+  /** Whether any rank holds. */
   held: boolean;
 }
 
-/** Reads the expert load off all ranks; `undefined` if one does not answer. */
+/**
+ * Reads maps and expert load from all ranks and resets their counts of tokens.
+ * Returns `undefined` if a rank does not answer.
+ */
 export async function inspectGroup(
   term: groupTerm.GroupTerm,
 ): Promise<GroupInspection | undefined> {
@@ -30,7 +36,7 @@
   };
 }
 
-/** Puts together what each rank tells of its own experts. */
+/** Merges the counts that each rank reports for its own experts. */
 function mergeCounts(
   counts: wire.ExpertCount[][][],
 ): Pick<GroupInspection, "tokens" | "places"> {
--- a/packages/daemon/src/expert_map/map_cache.ts
+++ b/packages/daemon/src/expert_map/map_cache.ts
@@ -1,16 +1,17 @@
 import * as wire from "@geraniumkeel/wire";
 
-/** The map in force, the one staged and one before: enough for any base. */
+/** Enough for the map in force, the staged one and the one before: any base. */
 const MAX_CACHED_MAPS = 3;
 
 /**
- * Maps that a rank's agent was given, so that the next one can be told by its
- * changes. Lost with the agent; then the whole map is sent once more.
+ * The newest maps that a rank's agent has received, in memory, so that the
+ * coordinator can send the next map as changes to one of them. A restarted
+ * agent has none, and the coordinator sends it the complete map.
  */
 export class MapCache {
   readonly #maps = new Map<number, wire.ExpertMap>();
 
-  /** Remembers a map in place of the oldest. */
+  /** Adds a map and, above the limit, drops the one that was added first. */
   put(map: wire.ExpertMap): void {
     this.#maps.delete(map.version);
     this.#maps.set(map.version, map);
@@ -20,7 +21,10 @@
     }
   }
 
-  /** The map that changes lead to, or `undefined` without their very base. */
+  /**
+   * The map that results from changes, or `undefined` if their base is not
+   * cached or differs from the sender's.
+   */
   applyChanges(changes: wire.MapChanges): wire.ExpertMap | undefined {
     const base = this.#maps.get(changes.base);
     return base && wire.applyChanges(base, changes);
--- a/packages/daemon/src/expert_map/order_gate.ts
+++ b/packages/daemon/src/expert_map/order_gate.ts
@@ -2,12 +2,12 @@
 import * as wire from "@geraniumkeel/wire";
 import * as mapCache from "./map_cache.ts";
 
-/** Part of the engine that takes group orders. */
+/** The part of an engine client that sends orders to the engine. */
 export interface OrderableEngine {
   order: engineModule.HttpEngine["order"];
 }
 
-/** What one rank answers while its engine has not been asked. */
+/** Values of the fields that an engine leaves out of its answer. */
 function defaultState(): wire.RankState {
   return {
     step: 0,
@@ -22,16 +22,20 @@
 }
 
 /**
- * Gate between a group's coordinators and one rank's engine. It enforces
- * fencing for engines that ignore it: after a promise, orders with a lower
- * number never reach the engine. A new incarnation starts without a promise,
- * and orders name the incarnation that promised, so that a coordinator from
- * before a restart is refused even with the highest number.
+ * Passes orders of a group's coordinators to one rank's engine and enforces
+ * fencing, also for engines that ignore it: after a promise, orders with a
+ * lower fencing number never reach the engine. A new incarnation of the agent
+ * starts without a promise. Each order names the incarnation that promised, so
+ * a new incarnation refuses orders of a coordinator that got its promise before
+ * the restart, even if that coordinator has the highest fencing number.
  */
 export class OrderGate {
   readonly #mapCache = new mapCache.MapCache();
   #promisedFencing = 0;
-  /** Orders run one at a time, so a promise follows all earlier orders. */
+  /**
+   * Completes with the latest order received. Orders run one at a time, so a
+   * promise takes effect after all orders received earlier.
+   */
   #previous: Promise<unknown> = Promise.resolve();
 
   constructor(
@@ -39,12 +43,15 @@
     readonly engine: OrderableEngine,
   ) {}
 
-  /** Highest fencing number promised. */
+  /** Fencing number that this incarnation has promised; 0 if none. */
   get promisedFencing(): number {
     return this.#promisedFencing;
   }
 
-  /** Carries out an order or says why not. */
+  /**
+   * Carries out an order after all earlier ones, and returns the engine's state
+   * or the reason for a refusal.
+   */
   handle(parameters: {
     agentIncarnation: string;
     order: wire.Order;
@@ -82,7 +89,10 @@
     return this.#refuse(refusalOf(answer.error.reason));
   }
 
-  /** The order as engines know it; `undefined` without the base of changes. */
+  /**
+   * The order in a form that engines understand; `undefined` if it stages
+   * changes to a map that is not cached.
+   */
   #engineOrder(order: wire.Order): wire.EngineOrder | undefined {
     if (order.kind !== wire.OrderKind.StageChanges) return order;
     const { group, fencing } = order;
@@ -95,7 +105,7 @@
   }
 }
 
-/** The engine's own words for a refusal, or that it failed. */
+/** The refusal that the reason contains; `EngineFailed` if it has none. */
 function refusalOf(reason: string): wire.OrderRefusal {
   const refusals = Object.values(wire.OrderRefusal);
   const known = refusals.find((refusal) => reason.includes(refusal));
--- a/packages/daemon/src/expert_map/rank_port.ts
+++ b/packages/daemon/src/expert_map/rank_port.ts
@@ -1,13 +1,16 @@
 import type * as wire from "@geraniumkeel/wire";
 
-/** One rank of a group as its coordinator reaches it. */
+/** Connection from a group's coordinator to one rank. */
 export interface RankPort {
   /**
-   * Incarnations of the linked agents that claim the rank. None while there is
-   * no link; two while a replaced host is still there beside its successor.
+   * Incarnations of the linked agents that claim the rank. There is none while
+   * no agent is linked, and two while a replaced host is still linked beside
+   * its replacement.
    */
   incarnations: () => string[];
-  /** Gives an order to one incarnation; `undefined`: the answer is unknown. */
+  /**
+   * Sends an order to an incarnation; `undefined` if its outcome is unknown.
+   */
   order: (
     order: wire.Order,
     incarnation: string,
--- a/packages/daemon/src/expert_map/rank_session.ts
+++ b/packages/daemon/src/expert_map/rank_session.ts
@@ -1,36 +1,40 @@
 import * as wire from "@geraniumkeel/wire";
 import type * as rankPort from "./rank_port.ts";
 
-/** Why a coordinator cannot go on with a rank. */
+/** Why an order is not known to have been carried out. */
 export enum RankFailure {
-  /** A higher fencing number was promised: another coordinator took over. */
+  /** The rank promised a higher fencing number to another coordinator. */
   Superseded = "superseded",
-  /** Refused for a reason that repeating does not change. */
+  /** The rank refused for a reason that a repetition does not change. */
   Refused = "refused",
-  /** It needs the whole map. */
+  /** The rank's agent lacks the base of the changes and needs the full map. */
   LacksBase = "lacks-base",
-  /** Given up without a definite answer. */
+  /** The outcome is unknown; a repetition may succeed. */
   Unknown = "unknown",
 }
 
-/** Definite answer of a rank, or why there is none. */
+/** State of a rank after an order, or why the order is not known to be done. */
 export type RankReply =
   | { done: true; state: wire.RankState }
   | {
       done: false;
       failure: RankFailure;
       detail: string;
-      /** Fencing number that the rank obeys instead; 0 if it told none. */
+      /**
+       * Higher fencing number that the rank promised; 0 if it reported none.
+       */
       promisedFencing: number;
     };
 
 /**
- * A coordinator's dealings with one rank under one fencing number. Orders are
- * bound to the incarnation that promised.
+ * Sends one coordinator's orders to one rank under one fencing number. Each
+ * order is addressed to the incarnation of the rank's agent that promised that
+ * number, so that a restarted agent refuses it.
  */
 export class RankSession {
+  /** Incarnation that promised; `undefined` while no promise is known. */
   #promisedBy: string | undefined;
-  /** State as last read. */
+  /** State that the rank reported last. */
   state: wire.RankState | undefined;
 
   constructor(
@@ -39,17 +43,17 @@
     readonly fencing: number,
   ) {}
 
-  /** Whether the agent that promised is still the one in place. */
+  /** Whether the incarnation that promised is still linked. */
   get isBound(): boolean {
     if (this.#promisedBy === undefined) return false;
     return this.port.incarnations().includes(this.#promisedBy);
   }
 
-  /** Asks the agent in place for the promise, once, if there is just one. */
+  /** Asks for the promise once, if exactly one linked agent claims the rank. */
   async promise(): Promise<RankReply> {
     const [incarnation, ...others] = this.port.incarnations();
-    if (incarnation === undefined) return unknown("no link");
-    if (others.length > 0) return unknown("claimed by two agents");
+    if (incarnation === undefined) return unknown("rank has no linked agent");
+    if (others.length > 0) return unknown("rank is claimed by several agents");
     const { group, fencing } = this;
     const kind = wire.OrderKind.Promise;
     const reply = await this.#send({ kind, group, fencing }, incarnation);
@@ -57,21 +61,21 @@
     return reply;
   }
 
-  /** Asks the agent that promised whether it still stands by it. */
+  /** Asks the incarnation that promised to confirm its promise, once. */
   async confirm(): Promise<RankReply> {
     const { group, fencing } = this;
     return this.order({ kind: wire.OrderKind.Promise, group, fencing });
   }
 
-  /** Gives an order once; an unknown answer is an answer. */
+  /** Sends an order once; a lost answer gives a reply of unknown outcome. */
   async order(order: wire.Order): Promise<RankReply> {
-    if (this.#promisedBy === undefined) return unknown("no promise");
+    if (this.#promisedBy === undefined) return unknown("rank has not promised");
     return this.#send(order, this.#promisedBy);
   }
 
   async #send(order: wire.Order, incarnation: string): Promise<RankReply> {
     const answer = await this.port.order(order, incarnation);
-    if (answer === undefined) return unknown("no answer");
+    if (answer === undefined) return unknown("no answer from the rank");
     if (answer.done) {
       this.state = answer.state;
       return answer;
@@ -95,17 +99,17 @@
   }
 }
 
-/** Whether repeating cannot change the reply. */
+/** Whether the outcome is known, so that a repetition cannot change it. */
 export function isFinal(reply: RankReply): boolean {
   return reply.done || reply.failure !== RankFailure.Unknown;
 }
 
-/** Whether a reply tells that another coordinator has taken over. */
+/** Whether a reply shows that another coordinator has taken over. */
 export function isSuperseded(reply: RankReply): boolean {
   return !reply.done && reply.failure === RankFailure.Superseded;
 }
 
-/** The reply of something that never came to a definite answer. */
+/** Reply to an order whose outcome is unknown. */
 export function unknown(detail: string): RankReply {
   return failed(RankFailure.Unknown, detail);
 }
@@ -119,7 +123,7 @@
   return {
     done: false,
     failure,
-    detail: `promised ${promisedFencing}`,
+    detail: `rank promised fencing number ${promisedFencing}`,
     promisedFencing,
   };
 }
--- a/packages/daemon/src/expert_map/switch_map.ts
+++ b/packages/daemon/src/expert_map/switch_map.ts
@@ -2,58 +2,70 @@
 import type * as groupTerm from "./group_term.ts";
 import * as rankSession from "./rank_session.ts";
 
-/** How a switch ended. */
+/** Outcome of a switch. */
 export enum SwitchOutcomeKind {
+  /** All ranks use the new map. */
   Committed = "committed",
-  /** All ranks keep the map they had. */
+  /** All ranks still use the map that they had before. */
   Cancelled = "cancelled",
-  /** Another coordinator has taken over. */
+  /** Another coordinator has taken over the group. */
   Superseded = "superseded",
-  /** Not finished; a successor will settle it. */
+  /** Not certainly completed or cancelled; the next take-over does that. */
   Unfinished = "unfinished",
 }
 
-/** How a switch ended and why. */
+/** Outcome of a switch and the reason for it. */
 export interface SwitchOutcome {
   kind: SwitchOutcomeKind;
   detail: string;
-  /** Fencing number that some rank obeys instead; 0 if none was told. */
+  /** Higher fencing number that a rank promised; 0 if none was reported. */
   promisedFencing: number;
 }
 
-/** How engines of a group take a new map. */
+/** How the engines of a group change to a new map. */
 export enum SwitchMode {
-  /** "At step S, hold unless told go." */
+  /**
+   * Each engine is armed for an iteration. It applies the map before that
+   * iteration if it has received "go"; otherwise it holds until "go" arrives.
+   */
   AtIteration = "at-step",
-  /** Hold all, apply, release; for engines without step numbers. */
+  /**
+   * All engines hold, apply the map and are released. For engines that do not
+   * number their iterations.
+   */
   HoldAll = "hold-all",
 }
 
 /**
- * Rounds of orders that must fit in before the step: "arm" and "go", and half of
- * one to spare. Staging was such a round; with late messages a fixed lead would
- * let the step come first, and the group would hold for the rest.
+ * Rounds of orders to all ranks that must fit in before the iteration that
+ * first uses the map: "arm" and "go", and at least half a round in reserve.
+ * Staging is such a round, so the iterations that pass meanwhile show how long
+ * a round takes. With a fixed lead and delayed messages, the group would reach
+ * the iteration first and hold until the remaining orders arrive.
  */
 const LEAD_ORDER_ROUNDS = 3;
-/** Bound of the lead, for a group that stepped on while one rank was slow. */
+/**
+ * Upper limit of the lead, for a group that ran many iterations while one rank
+ * was slow to stage the map.
+ */
 const MAX_LEAD_ITERATIONS = 1_000;
 
-/** What a switch needs. */
+/** Parameters of a switch. */
 export interface SwitchParameters {
-  /** An established term. */
+  /** Term that all ranks have promised and confirmed. */
   term: groupTerm.GroupTerm;
   map: wire.ExpertMap;
-  /** The map told by its changes, if what is in force is known. */
+  /** The same map as changes to the one in force, if that is known. */
   changes?: wire.MapChanges;
   mode: SwitchMode;
-  /** Steps between arming and the switch at least. */
+  /** Iterations from the order to arm to the first use of the map, at least. */
   minLeadIterations: number;
 }
 
 /**
- * Switches a group to a new expert map so that no step ever runs with two. Every
- * step needs all ranks, so the unanimity of their agents is agreement enough,
- * with no store on the way.
+ * Switches a group to a new expert map so that no iteration ever runs with two
+ * maps. Every iteration needs all ranks. The agreement of all their agents is
+ * therefore sufficient, and no store takes part in the decision.
  */
 export async function switchMap(
   parameters: SwitchParameters,
@@ -72,6 +84,7 @@
   }
 }
 
+/** Arms all ranks for a later iteration and then orders "go". */
 async function switchAtIteration(
   parameters: SwitchParameters,
   iterationsWhileStaging: number,
@@ -87,16 +100,17 @@
     newestIteration(term) + Math.min(leadIterations, MAX_LEAD_ITERATIONS);
   const kind = wire.OrderKind.Arm;
   const notArmed = await term.orderAll({ kind, group, fencing, version, step });
-  // A rank whose answer is unknown may have armed, and would hold: until all
-  // have armed for certain, giving up is still possible, and is done.
+  // A rank whose answer is unknown may be armed and would hold. No rank has
+  // received "go" yet, so the switch can still be cancelled at all ranks.
   if (notArmed) return cancelSwitch(parameters, notArmed);
   return completeArmedSwitch(term, version);
 }
 
 /**
- * From the first "go" there is no way back: some rank may already use the map.
- * Ranks without it hold at the step, so lateness costs time and never a step
- * with two maps.
+ * Orders "go" at all ranks and waits until all use the map. After the first
+ * "go" the switch cannot be cancelled, because that rank may already use the
+ * map. A rank that has not received "go" holds before the iteration, so a late
+ * "go" delays the group but never lets an iteration run with two maps.
  */
 export async function completeArmedSwitch(
   term: groupTerm.GroupTerm,
@@ -115,8 +129,9 @@
 }
 
 /**
- * The step to switch at may still be ahead, far ahead if a rank stalls. A next
- * map staged by then would take the place of this one on some ranks only.
+ * Waits until all ranks use the map. The iteration that first uses it may be
+ * some time ahead, and far ahead if a rank stalls. If the next map were staged
+ * earlier, it would replace this one only at the ranks that do not use it yet.
  */
 async function awaitApplied(
   term: groupTerm.GroupTerm,
@@ -131,11 +146,14 @@
   return {
     kind: SwitchOutcomeKind.Committed,
     promisedFencing: 0,
-    detail: `version ${version}`,
+    detail: `map version ${version}`,
   };
 }
 
-/** Looks at all ranks until each is in a state; the failure if that ends. */
+/**
+ * Reads the states of all ranks until each meets the condition. Returns a
+ * failure if a rank refuses or the term stops.
+ */
 async function awaitAllRanks(
   term: groupTerm.GroupTerm,
   condition: (state: wire.RankState) => boolean,
@@ -150,11 +168,12 @@
   }
 }
 
-/** Newest step that any rank has told. */
+/** Highest number of an iteration that any rank has reported. */
 function newestIteration(term: groupTerm.GroupTerm): number {
   return Math.max(...term.states.map(({ step }) => step));
 }
 
+/** Makes all ranks hold, gives them the map and releases them. */
 async function switchWhileHolding(
   parameters: SwitchParameters,
 ): Promise<SwitchOutcome> {
@@ -167,10 +186,11 @@
 }
 
 /**
- * All ranks are to hold: apply one map everywhere, and only then release. A rank
- * says yes to "hold" at once and may be in the middle of a step; given the map
- * then, it would end that step with another map than it began. Only when all say
- * that they are at rest is no step under way anywhere in the group.
+ * Applies a staged map at all ranks, which have accepted the order to hold, and
+ * releases them only after that. A rank accepts "hold" at once and may still be
+ * running an iteration; if it applied the map then, it would complete that
+ * iteration with another map than it began with. Only when all ranks report
+ * that they hold is no iteration running anywhere in the group.
  */
 export async function completeHeldSwitch(
   term: groupTerm.GroupTerm,
@@ -197,11 +217,11 @@
   return {
     kind: SwitchOutcomeKind.Committed,
     promisedFencing: 0,
-    detail: `version ${version}`,
+    detail: `map version ${version}`,
   };
 }
 
-/** Gives up: every rank drops what was staged or armed. */
+/** Cancels the switch at all ranks, unless another coordinator took over. */
 async function cancelSwitch(
   parameters: SwitchParameters,
   reason: rankSession.RankReply,
@@ -220,7 +240,10 @@
   return { kind: SwitchOutcomeKind.Cancelled, detail, promisedFencing: 0 };
 }
 
-/** Has all ranks drop switches up to a version. */
+/**
+ * Makes all ranks drop maps that are staged or armed, up to and including a
+ * version. Returns the first failure, if any.
+ */
 export async function cancelSwitchesUpTo(
   term: groupTerm.GroupTerm,
   version: number,
@@ -230,6 +253,7 @@
   return term.orderAllUntilFinal({ kind, group, fencing, version });
 }
 
+/** Outcome of a switch that could be neither completed nor cancelled. */
 function failedOutcome(reason: rankSession.RankReply): SwitchOutcome {
   const kind = rankSession.isSuperseded(reason)
     ? SwitchOutcomeKind.Superseded
--- a/packages/daemon/src/expert_map/take_over.ts
+++ b/packages/daemon/src/expert_map/take_over.ts
@@ -3,35 +3,40 @@
 import * as rankSession from "./rank_session.ts";
 import * as switchMap from "./switch_map.ts";
 
-/** What a new coordinator found, and where it left the group. */
+/** Result of a take-over, and what became of a predecessor's switch. */
 export type TakeOverOutcome =
   | {
       kind: "ready";
-      /** Version in force on all ranks. */
+      /** Version of the map that all ranks use. */
       version: number;
-      /** What was done with a switch that a predecessor left. */
+      /**
+       * What was done with a switch that a predecessor left: completed,
+       * cancelled, or ranks with different maps given the newest of them.
+       */
       recovered: "nothing" | "finished" | "cancelled" | "unified";
     }
   | {
       kind: "superseded";
       detail: string;
-      /** Fencing number that some rank obeys instead; 0 if none was told. */
+      /** Higher fencing number that a rank promised; 0 if none was reported. */
       promisedFencing: number;
     }
   | { kind: "unreached"; detail: string };
 
-/** What taking over needs. */
+/** Parameters of a take-over. */
 export interface TakeOverParameters {
   term: groupTerm.GroupTerm;
-  /** The map of a version, from where its coordinator kept it. */
+  /** Reads a map that an earlier coordinator stored. */
   readMap: (version: number) => Promise<wire.ExpertMap | undefined>;
 }
 
 /**
- * Becomes the coordinator of a group: all ranks promise, so that no lower number
- * can order any of them, and then what a predecessor left is settled. Any "go":
- * go for all, as that rank may already use the map. None, with all ranks having
- * promised: nobody can say go any more, so cancel.
+ * Takes over the coordination of a group. First all ranks promise to refuse
+ * lower fencing numbers. Then a switch that a predecessor left is completed or
+ * cancelled. If any rank has received "go", all ranks get "go", because that
+ * rank may already use the map. If none has, the switch is cancelled: as all
+ * ranks have promised, the predecessor can no longer order "go" anywhere. If
+ * ranks already use different maps and none is armed, all get the newest one.
  */
 export async function takeOver(
   parameters: TakeOverParameters,
@@ -48,11 +53,12 @@
   if (inForce.every((version) => version === newest)) {
     return cancelUnfinishedSwitch(term, newest);
   }
-  // Some ranks have applied a map that others are still armed for.
+  // Some ranks already use a map that others are still armed for.
   if (armed) return finish(term, newest);
   return unify(parameters, newest);
 }
 
+/** Completes a switch after the first "go". */
 async function finish(
   term: groupTerm.GroupTerm,
   version: number,
@@ -61,15 +67,15 @@
   return outcomeOf(outcome, version, "finished");
 }
 
+/** Cancels a switch that no rank has applied, if there is one. */
 async function cancelUnfinishedSwitch(
   term: groupTerm.GroupTerm,
   version: number,
 ): Promise<TakeOverOutcome> {
-  const hasUnfinishedSwitch = term.states.some(
+  const isUnfinished = term.states.some(
     (state) => state.armedVersion > 0 || state.stagedVersion > 0 || state.held,
   );
-  if (!hasUnfinishedSwitch)
-    return { kind: "ready", version, recovered: "nothing" };
+  if (!isUnfinished) return { kind: "ready", version, recovered: "nothing" };
   const anyVersion = Number.MAX_SAFE_INTEGER;
   const failure = await switchMap.cancelSwitchesUpTo(term, anyVersion);
   if (failure) return failedTakeOver(failure);
@@ -77,8 +83,10 @@
 }
 
 /**
- * Ranks hold with different maps, and no step is armed: engines without step
- * numbers, left half applied. Hold all, give all the newest map, release.
+ * Gives all ranks the newest map that any of them uses. For ranks that hold
+ * with different maps while none is armed: engines that do not number their
+ * iterations, and that a predecessor left with the map applied at some of them.
+ * All ranks hold, apply the newest map and are released.
  */
 async function unify(
   parameters: TakeOverParameters,
