--- a/packages/daemon/src/expert_map/group_coordinator.ts
+++ b/packages/daemon/src/expert_map/group_coordinator.ts
@@ -1,7 +1,7 @@
 import * as common from "@geraniumkeel/common";
 import type * as configuration from "@geraniumkeel/configuration";
 import * as wire from "@geraniumkeel/wire";
-import * as holdBack from "../placement/hold_back.ts";
+import * as deferPlacement from "../placement/defer_placement.ts";
 import * as hourShape from "../forecast/hour_shape.ts";
 import * as placementDecision from "../placement/placement_decision.ts";
 import * as surgeClock from "../forecast/surge_clock.ts";
@@ -13,93 +13,122 @@
 import * as switchMap from "./switch_map.ts";
 import * as takeOver from "./take_over.ts";
 
-/** What coordinating a group needs. */
+/** Dependencies of a group's coordinator. */
 export interface GroupCoordinatorParameters {
   group: string;
+  /** Lease that lets one entry at a time coordinate the group. */
   lease: leaseModule.Lease;
   maps: mapStore.MapStore;
-  /** All ranks, or `undefined` while some are not linked. */
-  ranks: () => rankPort.RankPort[] | undefined;
+  /** Ports to all ranks, or `undefined` while a rank cannot be reached. */
+  rankPorts: () => rankPort.RankPort[] | undefined;
+  /** Expert settings of the group's service, if it has any. */
   experts: () => configuration.Experts | undefined;
+  /** The preset in force, if the entry has a configuration. */
   preset: () => configuration.Preset | undefined;
-  /** Whether a switch may start now, and room for one more. */
-  mayStart: () => boolean;
+  /** Whether the entry's limit on simultaneous switches allows one more. */
+  mayStartSwitch: () => boolean;
+  /** Called with true when a switch starts and with false when it finishes. */
   onSwitching: (switching: boolean) => void;
   logger: common.Logger;
   history: common.HistoryRecorder;
   host: string;
-  renewMilliseconds: number;
+  renewIntervalMilliseconds: number;
 }
 
-const RETRY_MILLISECONDS = 500;
-/** Steps between arming and the switch; all ranks arm in well under that. */
-const LEAD_STEPS = 30;
-/** Time for a switch under way to end when its term does. */
-const FINISH_MILLISECONDS = 3_000;
-/** Maps made in one term have versions of their own. */
+/** Pause before the next try to take over a group that was not reached. */
+const TAKE_OVER_RETRY_MILLISECONDS = 500;
+/**
+ * Least number of iterations between the order to arm and the iteration that
+ * first uses the new map. All ranks are armed after far fewer iterations.
+ */
+const MIN_LEAD_ITERATIONS = 30;
+/** Time that a switch in progress has to complete when its term ends. */
+const FINISH_TIMEOUT_MILLISECONDS = 3_000;
+/** Map versions reserved for each term, so that no two terms share one. */
 const VERSIONS_PER_TERM = 1_000_000;
 
-/** When a coordinator is to end. */
+/** Signals that stop a coordinator. */
 export interface CoordinatorSignals {
-  /** Another entry coordinates the group now, or this one closes. */
+  /** The group is assigned to another entry, or this process closes. */
   stopping: AbortSignal;
-  /** This process closes: nothing can be ordered any more. */
+  /** This process closes, so it can send no more orders. */
   closing: AbortSignal;
 }
 
-/** A term under way. */
+/** The current term and the means to stop it. */
 interface RunningTerm {
   fencing: number;
-  noMore: AbortController;
+  /** Aborts the `stopping` signal of the term. */
+  stop: AbortController;
+  /** Aborts the `abandoning` signal of the term. */
   abandon: AbortController;
+  /** Resolves when the term has ended. */
   ended: Promise<void>;
 }
 
-/** What a term runs under. */
+/** Fencing number of a term and the signals that stop it. */
 interface TermParameters {
   fencing: number;
-  /** Begin nothing more. */
-  noMore: AbortSignal;
-  /** Give up what is under way too. */
-  abandon: AbortSignal;
+  /** Once aborted, the term only completes the switch in progress. */
+  stopping: AbortSignal;
+  /** Once aborted, the term gives up the switch in progress too. */
+  abandoning: AbortSignal;
 }
 
-/** Coordinates one group while this entry holds its lease. */
+/**
+ * Coordinates one group while this entry has the group's lease: it reads the
+ * expert load of all ranks at intervals, plans a better placement of experts
+ * and switches the group to the new expert map if the gain repays the cost.
+ * Each time that the lease is acquired, a term with a new fencing number
+ * starts.
+ */
 export class GroupCoordinator {
-  readonly #shape = new hourShape.HourShape();
-  readonly #surges = new surgeClock.SurgeClock();
+  readonly #hourlyLoad = new hourShape.HourShape();
+  readonly #surgeClock = new surgeClock.SurgeClock();
   #lastPlan: placementDecision.PlacementDecision | undefined;
-  #switches = 0;
-  /** The term under way. */
+  /** Switches committed since this coordinator started. */
+  #committedSwitches = 0;
+  /** The current term; `undefined` while another entry may have the lease. */
   #term: RunningTerm | undefined;
 
   constructor(readonly parameters: GroupCoordinatorParameters) {}
 
-  /** What the state dump says of the group. */
+  /** State of the group for the state dump. */
   describe(): unknown {
     const { lease, group } = this.parameters;
     const { fencing } = lease;
     const lastPlan = this.#lastPlan;
     const term = this.#term?.fencing;
-    return { group, fencing, term, switches: this.#switches, lastPlan };
+    return {
+      group,
+      fencing,
+      term,
+      switches: this.#committedSwitches,
+      lastPlan,
+    };
   }
 
-  /** Holds the lease and coordinates, term by term. */
+  /**
+   * Acquires and renews the lease and runs a term each time that it has the
+   * lease, until `stopping` aborts.
+   */
   async run(signals: CoordinatorSignals): Promise<void> {
-    const { lease, renewMilliseconds } = this.parameters;
+    const { lease, renewIntervalMilliseconds } = this.parameters;
     const { stopping } = signals;
     while (!stopping.aborted) {
       const fencing = await lease.renew();
       if (this.#term && this.#term.fencing !== fencing) {
         await this.#endTerm();
-        // The lease may have lapsed and still be ours. The next term needs a
-        // number of its own: versions of maps are made of it, and one version
-        // with two maps would have a rank take the second for done.
+        // The lease may have lapsed without another entry acquiring it, and
+        // renewing it would give the same fencing number again. The next term
+        // needs a new one because map versions are derived from it: with one
+        // version for two maps, a rank with the first map would report the
+        // second as applied.
         await lease.release();
       } else if (fencing !== undefined) {
         this.#term ??= this.#beginTerm(fencing, signals);
       }
-      await common.sleep(renewMilliseconds, stopping);
+      await common.sleep(renewIntervalMilliseconds, stopping);
     }
     await this.#endTerm();
     await lease.release();
@@ -108,51 +137,57 @@
   #beginTerm(fencing: number, signals: CoordinatorSignals): RunningTerm {
     const { logger, group } = this.parameters;
     logger.event(common.EventCode.CoordinatorChanged, { group, fencing });
-    const noMore = new AbortController();
+    const stop = new AbortController();
     const abandon = new AbortController();
     const ended = this.#runTerm({
       fencing,
-      noMore: AbortSignal.any([signals.stopping, noMore.signal]),
-      abandon: AbortSignal.any([signals.closing, abandon.signal]),
+      stopping: AbortSignal.any([signals.stopping, stop.signal]),
+      abandoning: AbortSignal.any([signals.closing, abandon.signal]),
     });
-    return { fencing, noMore, abandon, ended };
+    return { fencing, stop, abandon, ended };
   }
 
   /**
-   * Lets a switch under way come to its end: given up between "arm" and "go", it
-   * would have the whole group hold until a successor has taken over. Safe
-   * without the lease, as a successor's higher number ends it at once.
+   * Ends the term after the switch in progress, if there is one. A switch that
+   * was given up between "arm" and "go" would make the group hold until a
+   * successor has taken over. Continuing without the lease is safe: once ranks
+   * promise a successor's higher fencing number, they refuse this term's
+   * orders.
    */
   async #endTerm(): Promise<void> {
     const term = this.#term;
     if (!term) return;
-    term.noMore.abort();
-    await common.withTimeout(term.ended, FINISH_MILLISECONDS);
+    term.stop.abort();
+    await common.withTimeout(term.ended, FINISH_TIMEOUT_MILLISECONDS);
     term.abandon.abort();
     await term.ended;
     this.#term = undefined;
   }
 
+  /**
+   * Takes the group over and rebalances it periodically until the term stops.
+   */
   async #runTerm(parameters: TermParameters): Promise<void> {
-    const { fencing, noMore, abandon } = parameters;
+    const { fencing, stopping, abandoning } = parameters;
     let count = 0;
-    while (!noMore.aborted) {
-      const taken = await this.#takeOver(fencing, abandon);
-      if (taken === "superseded") {
-        // A higher number was promised while the lease looks held. Keeping the
-        // lease would leave the group with a coordinator that no rank obeys;
-        // given up, it is taken again by someone, under a higher number.
+    while (!stopping.aborted) {
+      const term = await this.#takeOver(fencing, abandoning);
+      if (term === "superseded") {
+        // A rank has promised a higher fencing number although this entry
+        // appears to have the lease. With the lease kept, the group would have
+        // a coordinator whose orders the ranks refuse. After the release, an
+        // entry acquires the lease again under a higher number.
         return this.parameters.lease.release();
       }
-      if (taken === undefined) {
-        await common.sleep(RETRY_MILLISECONDS, noMore);
+      if (term === undefined) {
+        await common.sleep(TAKE_OVER_RETRY_MILLISECONDS, stopping);
         continue;
       }
-      while (!noMore.aborted) {
-        await common.sleep(this.#periodMilliseconds(), noMore);
-        if (noMore.aborted) return;
+      while (!stopping.aborted) {
+        await common.sleep(this.#periodMilliseconds(), stopping);
+        if (stopping.aborted) return;
         const version = fencing * VERSIONS_PER_TERM + ++count;
-        if (!(await this.#round(taken, version))) break;
+        if (!(await this.#rebalance(term, version))) break;
       }
     }
   }
@@ -162,21 +197,26 @@
     return seconds * 1_000;
   }
 
-  /** Has all ranks promise and settles what a predecessor left. */
+  /**
+   * Gets promises from all ranks and completes or cancels a switch that a
+   * predecessor left. Returns the term; `undefined` if some rank was not
+   * reached; or "superseded" if a rank has promised a higher fencing number.
+   */
   async #takeOver(
     fencing: number,
     signal: AbortSignal,
   ): Promise<groupTerm.GroupTerm | "superseded" | undefined> {
-    const { group, ranks, maps, logger } = this.parameters;
-    const ports = ranks();
+    const { group, rankPorts, maps, logger } = this.parameters;
+    const ports = rankPorts();
     if (!ports) return undefined;
     const term = new groupTerm.GroupTerm({ group, fencing, ports, signal });
     const readMap = (version: number) => maps.read(group, version);
     const outcome = await takeOver.takeOver({ term, readMap });
     switch (outcome.kind) {
       case "superseded":
-        // The table may have forgotten the number that the ranks remember.
-        this.parameters.lease.outdo(outcome.promised);
+        // The table service may have lost the fencing number that the ranks
+        // promised; the next one must be higher.
+        this.parameters.lease.outdo(outcome.promisedFencing);
         return "superseded";
       case "unreached":
         return undefined;
@@ -191,37 +231,45 @@
     }
   }
 
-  /** One look at the group and what follows; false to take over anew. */
-  async #round(term: groupTerm.GroupTerm, version: number): Promise<boolean> {
-    const { experts, preset, mayStart } = this.parameters;
+  /**
+   * Inspects the group once and, if that pays off, switches it to a new map
+   * with the given version. Returns false if the group must be taken over
+   * again.
+   */
+  async #rebalance(
+    term: groupTerm.GroupTerm,
+    version: number,
+  ): Promise<boolean> {
+    const { experts, preset, mayStartSwitch } = this.parameters;
     const ranks = term.sessions.length;
-    const view = await inspectGroup.inspectGroup(term);
-    if (!view || view.version === undefined || view.held) return false;
-    const wanted = experts();
+    const state = await inspectGroup.inspectGroup(term);
+    if (!state || state.version === undefined || state.held) return false;
+    const expertSettings = experts();
     const inForce = preset();
-    if (!wanted || !inForce?.placement.enabled) return true;
+    if (!expertSettings || !inForce?.placement.enabled) return true;
     const seconds = inForce.placement.periodSeconds;
-    const load = perSecond(view.tokens, seconds);
+    const load = perSecond(state.tokens, seconds);
     if (!hasLoad(load)) return true;
     const now = Date.now();
-    this.#shape.observe(load, now);
-    this.#surges.observe(tokensPerSecondOf(load), now);
-    const horizon = inForce.placement.horizonSeconds * 1_000;
-    const forecast = this.#shape.forecast(now, horizon) ?? load;
-    if (!mayStart()) return true;
-    const { places } = view;
+    this.#hourlyLoad.observe(load, now);
+    this.#surgeClock.observe(tokensPerSecondOf(load), now);
+    const horizonMilliseconds = inForce.placement.horizonSeconds * 1_000;
+    const forecast =
+      this.#hourlyLoad.forecast(now, horizonMilliseconds) ?? load;
+    if (!mayStartSwitch()) return true;
+    const { places } = state;
     const decision = await placementDecision.decidePlacement({
       load: forecast,
       places,
       ranks,
-      experts: wanted,
+      experts: expertSettings,
       placement: inForce.placement,
     });
     this.#lastPlan = decision;
-    this.#explain(decision);
+    this.#logDecision(decision);
     if (decision.kind === "keep") return true;
-    const clock = this.#surges;
-    if (holdBack.isHeldBack({ decision, clock, wallMilliseconds: now })) {
+    const clock = this.#surgeClock;
+    if (deferPlacement.isDeferred({ decision, clock, wallMilliseconds: now })) {
       const { group, logger } = this.parameters;
       const { netMilliseconds } = decision;
       const code = common.EventCode.PlacementHeldBack;
@@ -230,12 +278,16 @@
     }
     return this.#switch({
       term,
-      inForce: { version: view.version, places },
+      inForce: { version: state.version, places },
       map: { version, places: inRankOrder(decision.places) },
-      experts: wanted,
+      experts: expertSettings,
     });
   }
 
+  /**
+   * Stores the new map and switches the group to it. Returns false if the group
+   * must be taken over again.
+   */
   async #switch(parameters: {
     term: groupTerm.GroupTerm;
     inForce: wire.ExpertMap;
@@ -245,7 +297,7 @@
     const { term, inForce, map, experts } = parameters;
     const { group, maps, logger, history, host, onSwitching } = this.parameters;
     const { version } = map;
-    if (!(await maps.keep(group, map))) return true;
+    if (!(await maps.write(group, map))) return true;
     logger.event(common.EventCode.MapSwitchStarted, { group, version });
     onSwitching(true);
     const outcome = await switchMap.switchMap({
@@ -254,30 +306,31 @@
       changes: wire.changesBetween(inForce, map),
       mode:
         experts.switching === "at-step"
-          ? switchMap.SwitchMode.AtStep
+          ? switchMap.SwitchMode.AtIteration
           : switchMap.SwitchMode.HoldAll,
-      leadSteps: LEAD_STEPS,
+      minLeadIterations: MIN_LEAD_ITERATIONS,
     });
     onSwitching(false);
     const { kind: ended } = outcome;
     history.record({ kind: "switch", host, group, version, ended });
     const { detail } = outcome;
     switch (outcome.kind) {
-      case switchMap.SwitchKind.Committed:
-        this.#switches++;
+      case switchMap.SwitchOutcomeKind.Committed:
+        this.#committedSwitches++;
         logger.event(common.EventCode.MapSwitchCommitted, { group, version });
         return true;
-      case switchMap.SwitchKind.Cancelled:
+      case switchMap.SwitchOutcomeKind.Cancelled:
         logger.event(common.EventCode.MapSwitchCancelled, { group, detail });
         return true;
-      case switchMap.SwitchKind.Superseded:
-      case switchMap.SwitchKind.Unfinished:
+      case switchMap.SwitchOutcomeKind.Superseded:
+      case switchMap.SwitchOutcomeKind.Unfinished:
         logger.event(common.EventCode.MapSwitchCancelled, { group, detail });
         return false;
     }
   }
 
-  #explain(decision: placementDecision.PlacementDecision): void {
+  /** Logs the figures of a decision, whether the map changes or not. */
+  #logDecision(decision: placementDecision.PlacementDecision): void {
     const { logger, group } = this.parameters;
     const { skewBefore, skewAfter, changes, megabytes } = decision;
     const { savedMilliseconds, netMilliseconds } = decision;
@@ -297,18 +350,22 @@
   }
 }
 
+/** Converts counts of text tokens over a period into rates. */
 function perSecond(tokens: number[][], seconds: number): number[][] {
   return tokens.map((layer) => layer.map((count) => count / seconds));
 }
 
-/** Replicas of each expert by rank, as the ranks' own reports give them. */
+/**
+ * Sorts the ranks of each expert in ascending order, as an inspection of the
+ * group lists them.
+ */
 function inRankOrder(places: wire.ExpertPlaces): wire.ExpertPlaces {
   return places.map((layer) =>
     layer.map((ranks) => [...ranks].sort((left, right) => left - right)),
   );
 }
 
-/** Tokens a second through the experts of one layer, the first. */
+/** Text tokens per second over all experts of the first layer. */
 function tokensPerSecondOf(load: number[][]): number {
   return load[0]?.reduce((sum, rate) => sum + rate, 0) ?? 0;
 }
--- a/packages/daemon/src/expert_map/inspect_group.ts
+++ b/packages/daemon/src/expert_map/inspect_group.ts
@@ -1,39 +1,45 @@
 import * as wire from "@geraniumkeel/wire";
 import type * as groupTerm from "./group_term.ts";
 
-/** What a look at all ranks of a group gave. */
-export interface GroupView {
-  /** Tokens by layer and expert since the last look. */
+/** Combined state of all ranks of a group. */
+export interface GroupInspection {
+  /** Text tokens by layer and expert since the previous inspection. */
   tokens: number[][];
-  /** Ranks of each expert by layer, as the ranks themselves tell. */
+  /** Ranks of each expert by layer, as the ranks report them. */
   places: wire.ExpertPlaces;
-  /** Version in force; `undefined` when ranks differ, as in a switch. */
+  /**
+   * Version of the map that all ranks use; `undefined` if ranks use different
+   * ones, as they may during a switch.
+   */
   version: number | undefined;
-  /** Whether a rank holds although no switch is under way. */
+  /** Whether any rank holds. */
   held: boolean;
 }
 
-/** Reads the expert load off all ranks; `undefined` if one does not answer. */
+/**
+ * Reads maps and expert load from all ranks and resets their counts of tokens.
+ * Returns `undefined` if a rank does not answer.
+ */
 export async function inspectGroup(
   term: groupTerm.GroupTerm,
-): Promise<GroupView | undefined> {
+): Promise<GroupInspection | undefined> {
   const { group, fencing } = term;
   const kind = wire.OrderKind.Inspect;
-  const states = await term.ask({ kind, group, fencing });
+  const states = await term.orderAndReadStates({ kind, group, fencing });
   if (!states) return undefined;
   const versions = new Set(states.map(({ mapVersion }) => mapVersion));
   const counts = states.map(({ expertTokens }) => expertTokens);
   return {
-    ...gather(counts),
+    ...mergeCounts(counts),
     version: versions.size === 1 ? states[0].mapVersion : undefined,
     held: states.some(({ held }) => held),
   };
 }
 
-/** Puts together what each rank tells of its own experts. */
-function gather(
+/** Merges the counts that each rank reports for its own experts. */
+function mergeCounts(
   counts: wire.ExpertCount[][][],
-): Pick<GroupView, "tokens" | "places"> {
+): Pick<GroupInspection, "tokens" | "places"> {
   const layers = counts[0].length;
   const tokens: number[][] = Array.from({ length: layers }, () => []);
   const places: number[][][] = Array.from({ length: layers }, () => []);
--- a/packages/daemon/src/placement/plan_placement.ts
+++ b/packages/daemon/src/placement/plan_placement.ts
@@ -1,72 +1,82 @@
 import * as improveLayer from "./improve_layer.ts";
 import * as layerPlan from "./layer_plan.ts";
 
-/** What a plan is made from. */
+/** Input of `planPlacement`. */
 export interface PlacementInput {
+  /** Number of ranks. */
   ranks: number;
   /** Expert slots of a rank in one layer. */
   slots: number;
-  /** Expected tokens a second by layer and expert. */
+  /** Expected text tokens per second by layer and expert. */
   load: ArrayLike<number>[];
   /** Ranks of each expert by layer, as in force. */
   places: number[][][];
-  /** Milliseconds a rank takes for one token of one expert. */
+  /** Milliseconds that a rank takes for one text token of one expert. */
   millisecondsPerToken: number;
+  /** Size of the weights of one expert of one layer. */
   megabytesPerExpert: number;
-  /** Milliseconds of step time saved that repay one MB moved. */
+  /** Milliseconds of iteration time saved that repay one megabyte moved. */
   exchangeRate: number;
-  /** Seconds over which a gain is counted. */
+  /** Seconds over which the time saved is added up. */
   horizonSeconds: number;
-  /** Most megabytes that may be moved at once. */
+  /** Megabytes that one plan may move at most. */
   megabytesLimit: number;
 }
 
-/** A plan with what it gains and costs. */
+/** A plan with its gain and cost. */
 export interface PlacementPlan {
+  /** Ranks of each expert by layer. */
   places: number[][][];
+  /** Number of changes in the plan. */
   changes: number;
+  /** Number of experts that ranks must load. */
   copies: number;
+  /** Size of the weights that ranks must load. */
   megabytes: number;
-  /** Slowest over mean rank load, averaged over layers by load. */
+  /** Highest over mean rank load before the plan, weighted by layer load. */
   skewBefore: number;
+  /** Highest over mean rank load after the plan, weighted by layer load. */
   skewAfter: number;
-  /** Milliseconds saved over the horizon. */
+  /** Iteration time saved over the horizon. */
   savedMilliseconds: number;
-  /** Savings less the price of what is moved, in milliseconds. */
+  /** Iteration time saved less the cost of moving experts. */
   netMilliseconds: number;
 }
 
-/** A change with its layer and what it gains for each copy. */
+/** A change that the plan may make. */
 interface Candidate {
   layer: number;
   change: improveLayer.Change;
+  /** Decrease of the layer's highest rank load, in text tokens per second. */
   gain: number;
 }
 
 /**
- * The next expert map: from the one in force, the changes that gain most for
- * the bytes they move, as long as each repays its price. A layer's step part
- * takes as long as its slowest rank, so each layer is improved on its own, and
- * all layers compete for the bytes.
+ * Plans the next expert map. It makes those changes to the map in force that
+ * gain most for the bytes that they move, and only those that repay their cost.
+ * In each iteration a layer takes as long as its slowest rank. Each layer is
+ * therefore improved separately, and all layers compete for the bytes.
  */
 export function planPlacement(input: PlacementInput): PlacementPlan {
-  const plans = plansOf(input);
+  const plans = layerPlansOf(input);
   const skewBefore = meanSkew(plans);
-  const slowestBefore = totalSlowest(plans);
-  const price = input.exchangeRate * input.megabytesPerExpert;
-  const worth = input.millisecondsPerToken * input.horizonSeconds;
-  const pricePerCopy = price / worth;
+  const maxLoadBefore = totalMaxRankLoad(plans);
+  const copyCostMilliseconds = input.exchangeRate * input.megabytesPerExpert;
+  const millisecondsPerUnitLoad =
+    input.millisecondsPerToken * input.horizonSeconds;
+  const copyCostInLoad = copyCostMilliseconds / millisecondsPerUnitLoad;
   const candidates = plans.flatMap((plan, layer) =>
-    improveOne(plan, layer, input, pricePerCopy / 2),
+    findCandidates(plan, layer, input, copyCostInLoad / 2),
   );
-  const chosen = chooseAffordable(candidates, input, pricePerCopy);
-  const result = plansOf(input);
+  const chosen = selectWithinBudget(candidates, input, copyCostInLoad);
+  const result = layerPlansOf(input);
   let copies = 0;
   for (const { layer, change } of chosen) {
     improveLayer.applyChange(result[layer], change);
     copies += change.copies;
   }
-  const saved = worth * (slowestBefore - totalSlowest(result));
+  const savedMilliseconds =
+    millisecondsPerUnitLoad * (maxLoadBefore - totalMaxRankLoad(result));
   return {
     places: result.map((plan) => plan.ranksOf),
     changes: chosen.length,
@@ -74,127 +84,142 @@
     megabytes: copies * input.megabytesPerExpert,
     skewBefore,
     skewAfter: meanSkew(result),
-    savedMilliseconds: saved,
-    netMilliseconds: saved - copies * price,
+    savedMilliseconds,
+    netMilliseconds: savedMilliseconds - copies * copyCostMilliseconds,
   };
 }
 
-function plansOf(input: PlacementInput): layerPlan.LayerPlan[] {
+function layerPlansOf(input: PlacementInput): layerPlan.LayerPlan[] {
   return input.load.map(
     (load, layer) =>
       new layerPlan.LayerPlan(load, input.places[layer], input.ranks),
   );
 }
 
-/** All changes of one layer in order, each with its gain. */
-function improveOne(
+/**
+ * Improves one layer's plan by one change after the other and returns the
+ * changes in that order. Each relieves the rank with the highest load by more
+ * than `minGainPerCopy` for each copy. The gain for the layer is smaller, or
+ * zero, if other ranks have nearly the same load.
+ */
+function findCandidates(
   plan: layerPlan.LayerPlan,
   layer: number,
   input: PlacementInput,
-  smallestGain: number,
+  minGainPerCopy: number,
 ): Candidate[] {
   const candidates: Candidate[] = [];
-  const most = input.ranks * input.slots;
-  for (let count = 0; count < most; count++) {
-    const before = plan.slowest;
-    const change = improveLayer.bestChange(plan, input.slots, smallestGain);
+  const maxChanges = input.ranks * input.slots;
+  for (let count = 0; count < maxChanges; count++) {
+    const before = plan.maxRankLoad;
+    const change = improveLayer.bestChange(plan, input.slots, minGainPerCopy);
     if (!change) break;
     improveLayer.applyChange(plan, change);
-    candidates.push({ layer, change, gain: before - plan.slowest });
+    candidates.push({ layer, change, gain: before - plan.maxRankLoad });
   }
   return candidates;
 }
 
 /**
- * Changes of a layer build on each other, so a layer is taken up to some change
- * or not at all. Runs of changes compete by gain per copy; a run is worth it
- * when its mean gain for each copy is above the price.
+ * Selects the changes that repay their cost and fit into the limit on bytes.
+ * Each change of a layer builds on the ones before it, so a layer's changes are
+ * selected from the first one on, without gaps. Batches of changes compete by
+ * gain per copy. A batch repays its cost if its mean gain per copy is above
+ * `copyCostInLoad`.
  */
-function chooseAffordable(
+function selectWithinBudget(
   candidates: Candidate[],
   input: PlacementInput,
-  pricePerCopy: number,
+  copyCostInLoad: number,
 ): Candidate[] {
-  const runs = splitIntoRuns(candidates);
-  const budget = input.megabytesLimit / input.megabytesPerExpert;
-  const blocked = new Set<number>();
+  const batches = splitIntoBatches(candidates);
+  const copyBudget = input.megabytesLimit / input.megabytesPerExpert;
+  const blockedLayers = new Set<number>();
   const chosen: Candidate[] = [];
   let copies = 0;
-  runs.sort((left, right) => right.rate - left.rate);
-  for (const run of runs) {
-    if (run.rate <= pricePerCopy) break;
-    if (blocked.has(run.layer)) continue;
-    if (copies + run.copies > budget) {
-      blocked.add(run.layer);
+  batches.sort((left, right) => right.gainPerCopy - left.gainPerCopy);
+  for (const batch of batches) {
+    if (batch.gainPerCopy <= copyCostInLoad) break;
+    if (blockedLayers.has(batch.layer)) continue;
+    if (copies + batch.copies > copyBudget) {
+      blockedLayers.add(batch.layer);
       continue;
     }
-    copies += run.copies;
-    chosen.push(...run.candidates);
+    copies += batch.copies;
+    chosen.push(...batch.candidates);
   }
   return chosen;
 }
 
-interface Run {
+/**
+ * Consecutive changes of one layer that are selected together or not at all.
+ */
+interface Batch {
   layer: number;
   candidates: Candidate[];
   copies: number;
-  /** Gain per copy. */
-  rate: number;
+  /** Mean gain for each copy. */
+  gainPerCopy: number;
 }
 
 /**
- * Cuts each layer's changes into runs of falling gain per copy (its upper
- * convex hull). A change that alone gains nothing, as two ranks share the peak,
- * joins the one after it.
+ * Splits each layer's changes into batches with decreasing gain per copy (the
+ * upper convex hull of gain over copies). A change that gains nothing by
+ * itself, because two ranks have the highest load, joins the change after it.
  */
-function splitIntoRuns(candidates: Candidate[]): Run[] {
-  const byLayer = new Map<number, Run[]>();
+function splitIntoBatches(candidates: Candidate[]): Batch[] {
+  const byLayer = new Map<number, Batch[]>();
   for (const candidate of candidates) {
     const { layer, gain, change } = candidate;
-    const runs = byLayer.get(layer) ?? [];
-    byLayer.set(layer, runs);
-    let run: Run = {
+    const batches = byLayer.get(layer) ?? [];
+    byLayer.set(layer, batches);
+    let batch: Batch = {
       layer,
       candidates: [candidate],
       copies: change.copies,
-      rate: gain / change.copies,
+      gainPerCopy: gain / change.copies,
     };
     for (
-      let last = runs.at(-1);
-      last && last.rate <= run.rate;
-      last = runs.at(-1)
+      let previous = batches.at(-1);
+      previous && previous.gainPerCopy <= batch.gainPerCopy;
+      previous = batches.at(-1)
     ) {
-      runs.pop();
-      const copies = last.copies + run.copies;
-      const total = last.rate * last.copies + run.rate * run.copies;
-      run = {
+      batches.pop();
+      const copies = previous.copies + batch.copies;
+      const totalGain =
+        previous.gainPerCopy * previous.copies +
+        batch.gainPerCopy * batch.copies;
+      batch = {
         layer,
-        candidates: [...last.candidates, ...run.candidates],
+        candidates: [...previous.candidates, ...batch.candidates],
         copies,
-        rate: total / copies,
+        gainPerCopy: totalGain / copies,
       };
     }
-    runs.push(run);
+    batches.push(batch);
   }
   return [...byLayer.values()].flat();
 }
 
-function totalSlowest(plans: layerPlan.LayerPlan[]): number {
-  return plans.reduce((sum, plan) => sum + plan.slowest, 0);
+function totalMaxRankLoad(plans: layerPlan.LayerPlan[]): number {
+  return plans.reduce((sum, plan) => sum + plan.maxRankLoad, 0);
 }
 
-/** Slowest over mean rank load, over all layers together. */
+/**
+ * Sum of the layers' highest rank loads over the sum of their mean rank loads;
+ * 1 without load.
+ */
 export function meanSkew(plans: layerPlan.LayerPlan[]): number {
-  let slowest = 0;
-  let mean = 0;
+  let maxLoad = 0;
+  let meanLoad = 0;
   for (const plan of plans) {
-    slowest += plan.slowest;
-    mean += plan.rankLoad.reduce((sum, load) => sum + load, 0) / plan.ranks;
+    maxLoad += plan.maxRankLoad;
+    meanLoad += plan.rankLoad.reduce((sum, load) => sum + load, 0) / plan.ranks;
   }
-  return mean > 0 ? slowest / mean : 1;
+  return meanLoad > 0 ? maxLoad / meanLoad : 1;
 }
 
-/** Skew of places under a load. */
+/** Skew of a placement under a load by layer and expert. */
 export function skewOf(
   load: ArrayLike<number>[],
   places: number[][][],
@@ -202,7 +227,8 @@
 ): number {
   return meanSkew(
     load.map(
-      (one, layer) => new layerPlan.LayerPlan(one, places[layer], ranks),
+      (layerLoad, layer) =>
+        new layerPlan.LayerPlan(layerLoad, places[layer], ranks),
     ),
   );
 }
--- a/packages/daemon/src/placement/plan_quick.ts
+++ b/packages/daemon/src/placement/plan_quick.ts
@@ -2,8 +2,9 @@
 import * as layerPlan from "./layer_plan.ts";
 import * as planPlacement from "./plan_placement.ts";
 
-/** What a quick plan is made from. */
+/** Input of `planQuick`. */
 export interface QuickPlanInput {
+  /** Number of ranks. */
   ranks: number;
   /** Expert slots of a rank in one layer. */
   slots: number;
@@ -12,120 +13,134 @@
   /** Ranks of each expert by layer, as in force. */
   places: number[][][];
   /**
-   * Part of the time of all layers' slowest ranks that a copy must save: what
-   * loading it costs.
+   * Share of the summed load of all layers' slowest ranks that each copy must
+   * save. It stands for the cost of loading the copy.
    */
-  leastGainOfCopy: number;
-  /** Experts that one rank loads at most, over all layers. */
-  copiesPerRank: number;
-  /** Experts that one rank loads at most in one layer. */
-  copiesPerRankAndLayer: number;
+  minGainSharePerCopy: number;
+  /** Experts that one rank may load at most, over all layers. */
+  maxCopiesPerRank: number;
+  /** Experts that one rank may load at most in one layer. */
+  maxCopiesPerRankAndLayer: number;
 }
 
-/** A plan with what it is expected to gain. */
+/** A plan with its expected effect on the skew. */
 export interface QuickPlan {
+  /** Ranks of each expert by layer. */
   places: number[][][];
+  /** Number of experts that all ranks together must load. */
   copies: number;
-  /** Most experts that one rank has to load: loading takes that long. */
+  /**
+   * Number of experts that the rank with the most copies must load. It decides
+   * how long loading takes, because all ranks load at the same time.
+   */
   mostCopiesOfRank: number;
-  /** Slowest over mean rank load, averaged over layers by load. */
+  /** Highest over mean rank load before the plan, weighted by layer load. */
   skewBefore: number;
+  /** Highest over mean rank load after the plan, weighted by layer load. */
   skewAfter: number;
 }
 
 /**
- * The next map where demand changes every few seconds: ranks load their new
- * experts one after the other, so what counts is how many the busiest of them has
- * to load before the map can be used. The changes that gain most come first, over
- * all layers, until no rank may load more.
+ * Plans the next map for a group whose demand changes every few seconds. A rank
+ * loads its new experts one after the other, and the map can be used once the
+ * rank with the most copies has loaded them. The plan therefore limits the
+ * copies of each rank. It makes the changes with the highest gain per copy
+ * first, over all layers, until none gains enough within the limits.
  */
 export function planQuick(input: QuickPlanInput): QuickPlan {
   const plans = input.load.map(
     (load, layer) =>
       new layerPlan.LayerPlan(load, input.places[layer], input.ranks),
   );
-  const loads = new CopyCounts(input);
+  const copyCounts = new CopyCounts(input);
   const skewBefore = planPlacement.meanSkew(plans);
-  const slowest = plans.reduce((sum, plan) => sum + plan.slowest, 0);
-  const leastGain = slowest * input.leastGainOfCopy;
+  const totalMaxRankLoad = plans.reduce(
+    (sum, plan) => sum + plan.maxRankLoad,
+    0,
+  );
+  const minGain = totalMaxRankLoad * input.minGainSharePerCopy;
   const findChange = (layer: number) =>
-    improveLayer.bestChange(plans[layer], input.slots, leastGain, (rank) =>
-      loads.allowsRank(layer, rank),
+    improveLayer.bestChange(plans[layer], input.slots, minGain, (rank) =>
+      copyCounts.allowsRank(layer, rank),
     );
   const candidates = plans.map((_, layer) => findChange(layer));
   for (;;) {
-    const layer = bestOf(candidates);
+    const layer = layerWithBestCandidate(candidates);
     if (layer < 0) break;
     const change = candidates[layer] as improveLayer.Change;
-    loads.add(layer, change);
+    copyCounts.add(layer, change);
     improveLayer.applyChange(plans[layer], change);
     for (let other = 0; other < plans.length; other++) {
-      const stale = candidates[other];
-      // A rank that may load no more rules out changes planned before.
-      const blocked = stale && !loads.allows(other, stale);
+      const candidate = candidates[other];
+      // The candidates of other layers stay valid unless they load an expert at
+      // a rank that has now reached its limit.
+      const blocked = candidate && !copyCounts.allows(other, candidate);
       if (other !== layer && !blocked) continue;
       candidates[other] = findChange(other);
     }
   }
   return {
     places: plans.map((plan) => plan.ranksOf),
-    copies: loads.total,
-    mostCopiesOfRank: loads.mostOfRank,
+    copies: copyCounts.total,
+    mostCopiesOfRank: copyCounts.maxPerRank,
     skewBefore,
     skewAfter: planPlacement.meanSkew(plans),
   };
 }
 
-function bestOf(candidates: (improveLayer.Change | undefined)[]): number {
+/** Layer whose candidate has the highest gain per copy; -1 if there is none. */
+function layerWithBestCandidate(
+  candidates: (improveLayer.Change | undefined)[],
+): number {
   let best = -1;
-  let most = 0;
+  let bestGain = 0;
   candidates.forEach((candidate, layer) => {
-    if (!candidate || candidate.gainPerCopy <= most) return;
-    most = candidate.gainPerCopy;
+    if (!candidate || candidate.gainPerCopy <= bestGain) return;
+    bestGain = candidate.gainPerCopy;
     best = layer;
   });
   return best;
 }
 
-/** Experts that each rank has to load for the changes made so far. */
+/** Number of experts that each rank must load for the changes made so far. */
 class CopyCounts {
-  readonly #ofRank: number[];
-  readonly #ofRankAndLayer: number[][];
+  readonly #byRank: number[];
+  readonly #byLayerAndRank: number[][];
   total = 0;
 
   constructor(readonly input: QuickPlanInput) {
-    this.#ofRank = new Array<number>(input.ranks).fill(0);
-    this.#ofRankAndLayer = input.load.map(() =>
+    this.#byRank = new Array<number>(input.ranks).fill(0);
+    this.#byLayerAndRank = input.load.map(() =>
       new Array<number>(input.ranks).fill(0),
     );
   }
 
-  get mostOfRank(): number {
-    return Math.max(...this.#ofRank);
+  get maxPerRank(): number {
+    return Math.max(...this.#byRank);
   }
 
-  /** Whether the ranks that a change has load an expert may load one more. */
+  /** Whether all ranks that must load an expert for a change may do so. */
   allows(layer: number, change: improveLayer.Change): boolean {
     return ranksLoading(change).every((rank) => this.allowsRank(layer, rank));
   }
 
   /** Whether a rank may load one more expert of a layer. */
   allowsRank(layer: number, rank: number): boolean {
-    const { copiesPerRank, copiesPerRankAndLayer } = this.input;
-    if (this.#ofRank[rank] >= copiesPerRank) return false;
-    return this.#ofRankAndLayer[layer][rank] < copiesPerRankAndLayer;
+    const { maxCopiesPerRank, maxCopiesPerRankAndLayer } = this.input;
+    if (this.#byRank[rank] >= maxCopiesPerRank) return false;
+    return this.#byLayerAndRank[layer][rank] < maxCopiesPerRankAndLayer;
   }
 
   add(layer: number, change: improveLayer.Change): void {
     for (const rank of ranksLoading(change)) {
-      this.#ofRank[rank]++;
-      this.#ofRankAndLayer[layer][rank]++;
+      this.#byRank[rank]++;
+      this.#byLayerAndRank[layer][rank]++;
       this.total++;
     }
   }
 }
 
-/** Ranks that have to load an expert for a change. */
+/** Ranks that must load an expert for a change. */
 function ranksLoading(change: improveLayer.Change): number[] {
   return change.kind === improveLayer.ChangeKind.Swap
     ? [change.from, change.to]
