--- a/packages/daemon/src/admission/account_flow.ts
+++ b/packages/daemon/src/admission/account_flow.ts
@@ -1,17 +1,17 @@
 /** Place in the line of an account. */
-interface Place {
+interface PrioritizedRequest {
   urgency: number;
   wasAdmitted: boolean;
 }
 
 /** Requests of one account that wait, most urgent first. */
-export class AccountFlow<T extends Place> {
+export class AccountFlow<T extends PrioritizedRequest> {
   readonly #waiting: T[] = [];
   /** Virtual time at which the account may next be served. */
-  start: number;
+  startTag: number;
 
   constructor(virtualTime: number) {
-    this.start = virtualTime;
+    this.startTag = virtualTime;
   }
 
   /** Number of requests waiting. */
@@ -30,27 +30,30 @@
   }
 
   /** All requests, most urgent first. */
-  get items(): readonly T[] {
+  get requests(): readonly T[] {
     return this.#waiting;
   }
 
   /** Adds a request behind those as urgent; one that had its turn before them. */
-  add(item: T): void {
+  add(request: T): void {
     let index = this.#waiting.length;
-    while (index > 0 && goesBefore(item, this.#waiting[index - 1])) index--;
-    this.#waiting.splice(index, 0, item);
+    while (index > 0 && precedes(request, this.#waiting[index - 1])) index--;
+    this.#waiting.splice(index, 0, request);
   }
 
   /** Removes a request; false if it is not here. */
-  remove(item: T): boolean {
-    const index = this.#waiting.indexOf(item);
+  remove(request: T): boolean {
+    const index = this.#waiting.indexOf(request);
     if (index < 0) return false;
     this.#waiting.splice(index, 1);
     return true;
   }
 }
 
-function goesBefore(item: Place, other: Place): boolean {
-  if (item.urgency !== other.urgency) return item.urgency < other.urgency;
-  return item.wasAdmitted && !other.wasAdmitted;
+function precedes(
+  request: PrioritizedRequest,
+  other: PrioritizedRequest,
+): boolean {
+  if (request.urgency !== other.urgency) return request.urgency < other.urgency;
+  return request.wasAdmitted && !other.wasAdmitted;
 }
--- a/packages/daemon/src/admission/account_limits.ts
+++ b/packages/daemon/src/admission/account_limits.ts
@@ -1,15 +1,15 @@
 import * as common from "@geraniumkeel/common";
 import * as configuration from "@geraniumkeel/configuration";
 import * as wire from "@geraniumkeel/wire";
-import * as bucketShelf from "./bucket_shelf.ts";
+import * as bucketRegistry from "./bucket_registry.ts";
 import type * as creditBucket from "./credit_bucket.ts";
 
 /** Time to wait for the owner's answer before the local share is used. */
 const OWNER_TIMEOUT_MILLISECONDS = 250;
 /** Seconds' worth of an account's limit borrowed at a time, over all entries. */
-const LENT_SECONDS = 0.5;
+const LOAN_SECONDS = 0.5;
 /** Credit unused for this long goes back to the owner. */
-const IDLE_MILLISECONDS = 1_000;
+const IDLE_CREDIT_MILLISECONDS = 1_000;
 
 /** Outcome of asking for credit. */
 export type LimitOutcome =
@@ -26,7 +26,7 @@
   tokens: number;
   usedAt: number;
   waiters: Waiter[];
-  asking: boolean;
+  isServing: boolean;
 }
 
 /** What the limits need of the rest of the entry. */
@@ -48,11 +48,11 @@
  * the sum stays within the limit.
  */
 export class AccountLimits {
-  readonly #local = new Map<string, LocalCredit>();
-  readonly #owned: bucketShelf.BucketShelf;
+  readonly #localCredits = new Map<string, LocalCredit>();
+  readonly #ownedBuckets: bucketRegistry.BucketRegistry;
   /** Buckets with this entry's own share, for when the owner is unreachable. */
-  readonly #shares: bucketShelf.BucketShelf;
-  readonly #grants = new Map<
+  readonly #fallbackBuckets: bucketRegistry.BucketRegistry;
+  readonly #grantCallbacks = new Map<
     string,
     (
       grant: Extract<wire.Message, { kind: wire.MessageKind.CreditGrant }>,
@@ -61,31 +61,34 @@
 
   constructor(readonly parameters: AccountLimitsParameters) {
     const rateOf = (account: string) => this.#rateOf(account);
-    this.#owned = new bucketShelf.BucketShelf({ rateOf, share: () => 1 });
-    this.#shares = new bucketShelf.BucketShelf({
+    this.#ownedBuckets = new bucketRegistry.BucketRegistry({
+      rateOf,
+      share: () => 1,
+    });
+    this.#fallbackBuckets = new bucketRegistry.BucketRegistry({
       rateOf,
       share: () => 1 / Math.max(1, parameters.entries().length),
     });
   }
 
   /** Takes one request and its tokens from the account's limit. */
-  take(account: string, tokens: number): Promise<LimitOutcome> {
-    const local = this.#localOf(account);
+  reserve(account: string, tokens: number): Promise<LimitOutcome> {
+    const local = this.#localCreditOf(account);
     local.usedAt = common.now();
     return new Promise((resolve) => {
       local.waiters.push({ needed: { requests: 1, tokens }, resolve });
-      if (!local.asking) void this.#serve(account, local);
+      if (!local.isServing) void this.#serve(account, local);
     });
   }
 
   /** Corrects what was reserved by what was used; may leave a debt. */
-  settle(account: string, reservedTokens: number, usedTokens: number): void {
-    this.#localOf(account).tokens += reservedTokens - usedTokens;
+  reconcile(account: string, reservedTokens: number, usedTokens: number): void {
+    this.#localCreditOf(account).tokens += reservedTokens - usedTokens;
   }
 
   /** Gives the reservation of a request back that did not run. */
   refund(account: string, tokens: number): void {
-    const local = this.#localOf(account);
+    const local = this.#localCreditOf(account);
     local.requests += 1;
     local.tokens += tokens;
   }
@@ -96,9 +99,11 @@
       case wire.MessageKind.CreditRequest:
         return this.#lend(host, message);
       case wire.MessageKind.CreditGrant:
-        return this.#grants.get(message.account)?.(message);
+        return this.#grantCallbacks.get(message.account)?.(message);
       case wire.MessageKind.CreditReturn: {
-        return this.#owned.bucket(message.account)?.giveBack(message);
+        return this.#ownedBuckets
+          .bucketOf(message.account)
+          ?.returnCredit(message);
       }
       default:
         return;
@@ -108,22 +113,22 @@
   /** Returns idle credit and forgets idle buckets; call about every second. */
   sweep(): void {
     const now = common.now();
-    for (const [account, local] of this.#local) {
-      const idle = now - local.usedAt > IDLE_MILLISECONDS;
+    for (const [account, local] of this.#localCredits) {
+      const idle = now - local.usedAt > IDLE_CREDIT_MILLISECONDS;
       if (!idle || local.waiters.length > 0) continue;
-      this.#local.delete(account);
-      this.#giveBack(account, local);
+      this.#localCredits.delete(account);
+      this.#returnCredit(account, local);
     }
-    this.#owned.sweep();
-    this.#shares.sweep();
+    this.#ownedBuckets.sweep();
+    this.#fallbackBuckets.sweep();
   }
 
   /** What the state dump says of limits. */
   describe(): unknown {
     return {
-      owned: this.#owned.size,
+      owned: this.#ownedBuckets.size,
       borrowing: Object.fromEntries(
-        [...this.#local].map(([account, { requests, tokens }]) => [
+        [...this.#localCredits].map(([account, { requests, tokens }]) => [
           account,
           { requests, tokens: Math.round(tokens) },
         ]),
@@ -131,23 +136,23 @@
     };
   }
 
-  #localOf(account: string): LocalCredit {
-    const known = this.#local.get(account);
+  #localCreditOf(account: string): LocalCredit {
+    const known = this.#localCredits.get(account);
     if (known) return known;
     const fresh: LocalCredit = {
       requests: 0,
       tokens: 0,
       usedAt: common.now(),
       waiters: [],
-      asking: false,
+      isServing: false,
     };
-    this.#local.set(account, fresh);
+    this.#localCredits.set(account, fresh);
     return fresh;
   }
 
   /** Serves waiters in order, asking the owner whenever credit runs out. */
   async #serve(account: string, local: LocalCredit): Promise<void> {
-    local.asking = true;
+    local.isServing = true;
     while (local.waiters.length > 0) {
       const [waiter] = local.waiters;
       if (covers(local, waiter.needed)) {
@@ -157,21 +162,21 @@
         waiter.resolve({ kind: "granted" });
         continue;
       }
-      const wait = await this.#borrow(account, local);
-      if (wait === undefined) continue;
+      const waitMilliseconds = await this.#borrow(account, local);
+      if (waitMilliseconds === undefined) continue;
       // Nothing more can be had now: all who wait are told when to come back.
-      for (const refused of local.waiters.splice(0)) {
-        if (covers(local, refused.needed)) {
-          local.requests -= refused.needed.requests;
-          local.tokens -= refused.needed.tokens;
-          refused.resolve({ kind: "granted" });
+      for (const remaining of local.waiters.splice(0)) {
+        if (covers(local, remaining.needed)) {
+          local.requests -= remaining.needed.requests;
+          local.tokens -= remaining.needed.tokens;
+          remaining.resolve({ kind: "granted" });
           continue;
         }
-        const retryAfterMilliseconds = wait;
-        refused.resolve({ kind: "refused", retryAfterMilliseconds });
+        const retryAfterMilliseconds = waitMilliseconds;
+        remaining.resolve({ kind: "refused", retryAfterMilliseconds });
       }
     }
-    local.asking = false;
+    local.isServing = false;
   }
 
   /** Adds credit; returns the wait in milliseconds if none could be had. */
@@ -186,32 +191,33 @@
       requests: Math.max(0, first.needed.requests - local.requests),
       tokens: Math.max(0, first.needed.tokens - local.tokens),
     };
-    const share = LENT_SECONDS / Math.max(1, this.parameters.entries().length);
+    const loanSeconds =
+      LOAN_SECONDS / Math.max(1, this.parameters.entries().length);
     const waiting = sum(local.waiters.map((waiter) => waiter.needed));
     const wanted = {
-      requests: Math.ceil(waiting.requests + rate.requests * share),
-      tokens: waiting.tokens + rate.tokens * share,
+      requests: Math.ceil(waiting.requests + rate.requests * loanSeconds),
+      tokens: waiting.tokens + rate.tokens * loanSeconds,
     };
-    const granted = await this.#ask(account, needed, wanted);
-    if ("waitMilliseconds" in granted) return granted.waitMilliseconds;
-    local.requests += granted.granted.requests;
-    local.tokens += granted.granted.tokens;
+    const taken = await this.#obtainCredit(account, needed, wanted);
+    if ("waitMilliseconds" in taken) return taken.waitMilliseconds;
+    local.requests += taken.granted.requests;
+    local.tokens += taken.granted.tokens;
     return undefined;
   }
 
-  async #ask(
+  async #obtainCredit(
     account: string,
     needed: creditBucket.Credit,
     wanted: creditBucket.Credit,
   ): Promise<ReturnType<creditBucket.CreditBucket["take"]>> {
     const owner = this.#ownerOf(account);
     if (owner === this.parameters.self) {
-      const bucket = this.#owned.bucket(account);
+      const bucket = this.#ownedBuckets.bucketOf(account);
       return bucket?.take(needed, wanted) ?? { waitMilliseconds: 0 };
     }
-    const grant = await this.#askOwner(owner, account, needed, wanted);
+    const grant = await this.#requestFromOwner(owner, account, needed, wanted);
     if (grant === undefined) {
-      const bucket = this.#shares.bucket(account);
+      const bucket = this.#fallbackBuckets.bucketOf(account);
       return bucket?.take(needed, needed) ?? { waitMilliseconds: 0 };
     }
     if (grant.requests === 0 && grant.tokens === 0) {
@@ -220,7 +226,7 @@
     return { granted: grant };
   }
 
-  async #askOwner(
+  async #requestFromOwner(
     owner: string,
     account: string,
     needed: creditBucket.Credit,
@@ -229,9 +235,9 @@
     Extract<wire.Message, { kind: wire.MessageKind.CreditGrant }> | undefined
   > {
     const kind = wire.MessageKind.CreditRequest;
-    const answer = new Promise<
+    const granted = new Promise<
       Extract<wire.Message, { kind: wire.MessageKind.CreditGrant }>
-    >((resolve) => this.#grants.set(account, resolve));
+    >((resolve) => this.#grantCallbacks.set(account, resolve));
     const sent = await this.parameters.send(owner, {
       kind,
       account,
@@ -241,8 +247,8 @@
       wantedTokens: wanted.tokens,
     });
     if (!sent) return undefined;
-    const grant = await common.withTimeout(answer, OWNER_TIMEOUT_MILLISECONDS);
-    this.#grants.delete(account);
+    const grant = await common.withTimeout(granted, OWNER_TIMEOUT_MILLISECONDS);
+    this.#grantCallbacks.delete(account);
     return grant;
   }
 
@@ -252,7 +258,7 @@
     request: Extract<wire.Message, { kind: wire.MessageKind.CreditRequest }>,
   ): void {
     const { account } = request;
-    const bucket = this.#owned.bucket(account);
+    const bucket = this.#ownedBuckets.bucketOf(account);
     const wanted = {
       requests: request.wantedRequests,
       tokens: request.wantedTokens,
@@ -266,12 +272,12 @@
     void this.parameters.send(host, { kind, account, ...grant });
   }
 
-  #giveBack(account: string, local: LocalCredit): void {
+  #returnCredit(account: string, local: LocalCredit): void {
     const { requests, tokens } = local;
     if (requests === 0 && tokens === 0) return;
     const owner = this.#ownerOf(account);
     if (owner === this.parameters.self) {
-      this.#owned.bucket(account)?.giveBack({ requests, tokens });
+      this.#ownedBuckets.bucketOf(account)?.returnCredit({ requests, tokens });
       return;
     }
     const kind = wire.MessageKind.CreditReturn;
--- a/packages/daemon/src/admission/bucket_shelf.ts
+++ b/packages/daemon/src/admission/bucket_registry.ts
@@ -2,18 +2,18 @@
 import * as creditBucket from "./credit_bucket.ts";
 
 /** Buckets unused for this long are forgotten. */
-const FORGET_MILLISECONDS = 300_000;
+const MAX_IDLE_MILLISECONDS = 300_000;
 /** Rate of an account that was removed while its bucket was in use. */
-const REMOVED_RATE = { requests: 1, tokens: 1, burstSeconds: 1 };
+const REMOVED_ACCOUNT_RATE = { requests: 1, tokens: 1, burstSeconds: 1 };
 
-interface KnownBucket {
+interface TrackedBucket {
   bucket: creditBucket.CreditBucket;
   usedAt: number;
 }
 
 /** Buckets of accounts, made when first used and forgotten when long unused. */
-export class BucketShelf {
-  readonly #buckets = new Map<string, KnownBucket>();
+export class BucketRegistry {
+  readonly #buckets = new Map<string, TrackedBucket>();
 
   constructor(
     readonly parameters: {
@@ -30,29 +30,31 @@
   }
 
   /** Bucket of an account; `undefined` if there is no such account. */
-  bucket(account: string): creditBucket.CreditBucket | undefined {
-    const known = this.#buckets.get(account);
-    if (known) {
-      known.usedAt = common.now();
-      return known.bucket;
+  bucketOf(account: string): creditBucket.CreditBucket | undefined {
+    const tracked = this.#buckets.get(account);
+    if (tracked) {
+      tracked.usedAt = common.now();
+      return tracked.bucket;
     }
     if (!this.parameters.rateOf(account)) return undefined;
-    const bucket = new creditBucket.CreditBucket(() => this.#rate(account));
+    const bucket = new creditBucket.CreditBucket(() =>
+      this.#sharedRate(account),
+    );
     this.#buckets.set(account, { bucket, usedAt: common.now() });
     return bucket;
   }
 
   /** Forgets buckets that were not used for long. */
   sweep(): void {
-    const oldest = common.now() - FORGET_MILLISECONDS;
+    const oldestUse = common.now() - MAX_IDLE_MILLISECONDS;
     for (const [account, { usedAt }] of this.#buckets) {
-      if (usedAt < oldest) this.#buckets.delete(account);
+      if (usedAt < oldestUse) this.#buckets.delete(account);
     }
   }
 
-  #rate(account: string): creditBucket.CreditRate {
+  #sharedRate(account: string): creditBucket.CreditRate {
     const rate = this.parameters.rateOf(account);
-    if (!rate) return REMOVED_RATE;
+    if (!rate) return REMOVED_ACCOUNT_RATE;
     const share = this.parameters.share();
     const { requests, tokens, burstSeconds } = rate;
     return { requests: requests * share, tokens: tokens * share, burstSeconds };
--- a/packages/daemon/src/admission/credit_bucket.ts
+++ b/packages/daemon/src/admission/credit_bucket.ts
@@ -12,7 +12,7 @@
 }
 
 /** Seconds' worth that a new owner starts with. */
-const INITIAL_SECONDS = 1;
+const INITIAL_CREDIT_SECONDS = 1;
 
 /**
  * The global token bucket of one account, held by its owner entry. A new owner
@@ -22,23 +22,23 @@
 export class CreditBucket {
   #requests: number;
   #tokens: number;
-  #filledAt: number;
+  #refilledAt: number;
 
   constructor(
     readonly rate: () => CreditRate,
     readonly clock: () => number = common.now,
   ) {
     const { requests, tokens, burstSeconds } = rate();
-    const seconds = Math.min(INITIAL_SECONDS, burstSeconds);
+    const seconds = Math.min(INITIAL_CREDIT_SECONDS, burstSeconds);
     // A slow account must still be able to send its first request at once.
     this.#requests = Math.max(1, requests * seconds);
     this.#tokens = tokens * seconds;
-    this.#filledAt = clock();
+    this.#refilledAt = clock();
   }
 
   /** Credit at hand. */
   get available(): Credit {
-    this.#fill();
+    this.#refill();
     return { requests: this.#requests, tokens: this.#tokens };
   }
 
@@ -50,19 +50,19 @@
     needed: Credit,
     wanted: Credit,
   ): { granted: Credit } | { waitMilliseconds: number } {
-    this.#fill();
+    this.#refill();
     const rate = this.rate();
     // An answer larger than the whole burst could never be paid in advance.
-    const most = rate.tokens * rate.burstSeconds;
-    const tokensNeeded = Math.min(needed.tokens, most);
+    const burstTokens = rate.tokens * rate.burstSeconds;
+    const tokensNeeded = Math.min(needed.tokens, burstTokens);
     const missingRequests = needed.requests - this.#requests;
     const missingTokens = tokensNeeded - this.#tokens;
     if (missingRequests > 0 || missingTokens > 0) {
-      const wait = Math.max(
+      const waitSeconds = Math.max(
         missingRequests / rate.requests,
         missingTokens / rate.tokens,
       );
-      return { waitMilliseconds: wait * 1_000 };
+      return { waitMilliseconds: waitSeconds * 1_000 };
     }
     const granted = {
       requests: Math.min(wanted.requests, Math.floor(this.#requests)),
@@ -74,22 +74,22 @@
   }
 
   /** Takes back credit that was lent and not used; may be negative. */
-  giveBack(credit: Credit): void {
+  returnCredit(credit: Credit): void {
     this.#requests += credit.requests;
     this.#tokens += credit.tokens;
-    this.#fill();
+    this.#refill();
   }
 
-  #fill(): void {
+  #refill(): void {
     const rate = this.rate();
     const now = this.clock();
-    const seconds = (now - this.#filledAt) / 1_000;
-    this.#filledAt = now;
+    const seconds = (now - this.#refilledAt) / 1_000;
+    this.#refilledAt = now;
     const { burstSeconds } = rate;
-    const mostRequests = Math.max(1, rate.requests * burstSeconds);
+    const maxRequests = Math.max(1, rate.requests * burstSeconds);
     const requests = this.#requests + rate.requests * seconds;
     const tokens = this.#tokens + rate.tokens * seconds;
-    this.#requests = Math.min(requests, mostRequests);
+    this.#requests = Math.min(requests, maxRequests);
     this.#tokens = Math.min(tokens, rate.tokens * burstSeconds);
   }
 }
--- a/packages/daemon/src/admission/rate_window.ts
+++ b/packages/daemon/src/admission/rate_window.ts
@@ -1,7 +1,7 @@
 /** Counts events over about the last two seconds, in constant memory. */
 export class RateWindow {
-  #current = 0;
-  #previous = 0;
+  #currentCount = 0;
+  #previousCount = 0;
   #startedAt: number;
 
   constructor(
@@ -13,25 +13,26 @@
 
   /** Counts one event. */
   count(): void {
-    this.#roll();
-    this.#current++;
+    this.#advance();
+    this.#currentCount++;
   }
 
   /** Events per millisecond. */
   get perMillisecond(): number {
-    this.#roll();
+    this.#advance();
     const elapsed = this.clock() - this.#startedAt;
-    const share = elapsed / this.windowMilliseconds;
-    const weighted = this.#current + this.#previous * (1 - share);
-    return weighted / this.windowMilliseconds;
+    const elapsedShare = elapsed / this.windowMilliseconds;
+    const weightedCount =
+      this.#currentCount + this.#previousCount * (1 - elapsedShare);
+    return weightedCount / this.windowMilliseconds;
   }
 
-  #roll(): void {
+  #advance(): void {
     const elapsed = this.clock() - this.#startedAt;
     if (elapsed < this.windowMilliseconds) return;
-    const recent = elapsed < 2 * this.windowMilliseconds;
-    this.#previous = recent ? this.#current : 0;
-    this.#current = 0;
+    const isPreviousWindowAdjacent = elapsed < 2 * this.windowMilliseconds;
+    this.#previousCount = isPreviousWindowAdjacent ? this.#currentCount : 0;
+    this.#currentCount = 0;
     this.#startedAt = this.clock();
   }
 }
--- a/packages/daemon/src/admission/service_queue.ts
+++ b/packages/daemon/src/admission/service_queue.ts
@@ -1,11 +1,11 @@
 import * as common from "@geraniumkeel/common";
 import * as accountFlow from "./account_flow.ts";
 import * as rateWindow from "./rate_window.ts";
-import * as returnPacing from "./return_pacing.ts";
+import * as retryPacing from "./retry_pacing.ts";
 import * as surgeReserve from "./surge_reserve.ts";
 
 /** A request waiting for a runner. */
-export interface Waiting<R> {
+export interface WaitingRequest<R> {
   account: string;
   /** Share of service of the account. */
   weight: number;
@@ -19,26 +19,26 @@
   /** It had its turn before, and comes back for no fault of its own. */
   wasAdmitted: boolean;
   /** Takes a runner that has room in this part of its whole room. */
-  take: (roomShare: number) => R | undefined;
+  takeRunner: (capacityShare: number) => R | undefined;
 }
 
 /** What became of a request that asked for a runner. */
 export type QueueOutcome<R> =
   | { kind: "admitted"; runner: R; waitedMilliseconds: number }
   /** No room; `waitMilliseconds` is when to come back. */
-  | { kind: "full"; waitMilliseconds: number }
+  | { kind: "full"; retryAfterMilliseconds: number }
   /** It would miss its deadline; `waitMilliseconds` is when to come back. */
-  | { kind: "too-late"; waitMilliseconds: number }
+  | { kind: "too-late"; retryAfterMilliseconds: number }
   | { kind: "caller-gone" };
 
-interface Item<R> extends Waiting<R> {
+interface QueuedRequest<R> extends WaitingRequest<R> {
   queuedAt: number;
-  settle: (outcome: QueueOutcome<R>) => void;
+  finish: (outcome: QueueOutcome<R>) => void;
 }
 
 const RATE_WINDOW_MILLISECONDS = 2_000;
 /** Accounts whose next request is tried when the first finds no runner. */
-const LOOK_PAST = 4;
+const MAX_SKIPPED_ACCOUNTS = 4;
 
 /**
  * Requests of one service waiting at one entry, served by start-time fair
@@ -48,14 +48,17 @@
  * queue to others.
  */
 export class ServiceQueue<R> {
-  readonly #flows = new Map<string, accountFlow.AccountFlow<Item<R>>>();
+  readonly #flows = new Map<
+    string,
+    accountFlow.AccountFlow<QueuedRequest<R>>
+  >();
   readonly #admissions: rateWindow.RateWindow;
   readonly #now: () => number;
-  readonly #returns: returnPacing.ReturnPacing;
+  readonly #retryPacing: retryPacing.RetryPacing;
   #virtualTime = 0;
   #length = 0;
   /** Of those waiting, how many are less urgent than usual. */
-  #lessUrgent = 0;
+  #lessUrgentCount = 0;
 
   constructor(
     readonly parameters: {
@@ -68,7 +71,7 @@
     },
   ) {
     this.#now = parameters.clock ?? common.now;
-    this.#returns = new returnPacing.ReturnPacing(this.#now);
+    this.#retryPacing = new retryPacing.RetryPacing(this.#now);
     this.#admissions = new rateWindow.RateWindow(
       RATE_WINDOW_MILLISECONDS,
       this.#now,
@@ -88,30 +91,35 @@
   }
 
   /** Waits for a runner, or refuses at once what cannot be served in time. */
-  enter(waiting: Waiting<R>): Promise<QueueOutcome<R>> | QueueOutcome<R> {
-    if (waiting.signal.aborted) return { kind: "caller-gone" };
-    if (!waiting.wasAdmitted) this.parameters.reserve?.count(waiting.urgency);
-    if (this.#mayPass(waiting)) {
-      const runner = waiting.take(this.#roomShare(waiting));
+  enter(
+    request: WaitingRequest<R>,
+  ): Promise<QueueOutcome<R>> | QueueOutcome<R> {
+    if (request.signal.aborted) return { kind: "caller-gone" };
+    if (!request.wasAdmitted) this.parameters.reserve?.count(request.urgency);
+    if (this.#maySkipQueue(request)) {
+      const runner = request.takeRunner(this.#capacityShare(request));
       if (runner !== undefined) return this.#admit(runner, 0);
     }
-    if (this.#isFull && !waiting.wasAdmitted && !this.#giveWay(waiting)) {
-      const waitMilliseconds = this.#timeToReturn(this.estimatedWait);
-      return { kind: "full", waitMilliseconds };
+    if (this.#isFull && !request.wasAdmitted && !this.#makeRoomFor(request)) {
+      const retryAfterMilliseconds = this.#nextRetryDelay(this.estimatedWait);
+      return { kind: "full", retryAfterMilliseconds };
     }
-    const waitMilliseconds = this.#expectedWait(waiting);
-    if (this.#now() + waitMilliseconds > waiting.deadline) {
-      const timeToReturn = this.#timeToReturn(waitMilliseconds);
+    const waitMilliseconds = this.#expectedWait(request);
+    if (this.#now() + waitMilliseconds > request.deadline) {
+      const retryDelayMilliseconds = this.#nextRetryDelay(waitMilliseconds);
       return {
         kind: "too-late",
-        waitMilliseconds: Math.max(waitMilliseconds, timeToReturn),
+        retryAfterMilliseconds: Math.max(
+          waitMilliseconds,
+          retryDelayMilliseconds,
+        ),
       };
     }
-    return new Promise((resolve) => this.#insert(waiting, resolve));
+    return new Promise((resolve) => this.#insert(request, resolve));
   }
 
   /** Admits as many as find a runner; refuses those past their deadline. */
-  pump(): void {
+  admitWaiting(): void {
     if (this.#length === 0) return;
     this.#dropExpired();
     while (this.#admitNext());
@@ -121,51 +129,57 @@
     return this.#length >= this.parameters.limit();
   }
 
-  #timeToReturn(queueMilliseconds: number): number {
+  #nextRetryDelay(queueMilliseconds: number): number {
     const requestsPerMillisecond = this.#admissions.perMillisecond;
-    return this.#returns.next({ queueMilliseconds, requestsPerMillisecond });
+    return this.#retryPacing.nextDelayMilliseconds({
+      queueMilliseconds,
+      requestsPerMillisecond,
+    });
   }
 
   /**
    * Under fair queueing an account waits for its own requests, and for as many
    * of each other account that has any waiting.
    */
-  #expectedWait(waiting: Waiting<R>): number {
-    const own = this.#flows.get(waiting.account)?.length ?? 0;
-    let ahead = 0;
+  #expectedWait(request: WaitingRequest<R>): number {
+    const ownCount = this.#flows.get(request.account)?.length ?? 0;
+    let requestsAhead = 0;
     for (const flow of this.#flows.values()) {
-      ahead += Math.min(flow.length, own + 1);
+      requestsAhead += Math.min(flow.length, ownCount + 1);
     }
     const rate = this.#admissions.perMillisecond;
-    return rate > 0 ? ahead / rate : 0;
+    return rate > 0 ? requestsAhead / rate : 0;
   }
 
   /** Whether nobody waits who would have to be served first. */
-  #mayPass({ urgency }: Waiting<R>): boolean {
+  #maySkipQueue({ urgency }: WaitingRequest<R>): boolean {
     if (this.#length === 0) return true;
-    const onlyLessUrgent = this.#lessUrgent === this.#length;
+    const onlyLessUrgent = this.#lessUrgentCount === this.#length;
     if (!onlyLessUrgent || isLessUrgent(urgency)) return false;
     return this.parameters.reserve?.expected ?? false;
   }
 
-  #roomShare({ urgency }: Waiting<R>): number {
-    return this.parameters.reserve?.roomShare(urgency) ?? 1;
+  #capacityShare({ urgency }: WaitingRequest<R>): number {
+    return this.parameters.reserve?.capacityShare(urgency) ?? 1;
   }
 
   /**
    * Makes place in a full queue by refusing one that nobody waits for: the last
    * of the account that has most waiting. False if there is none.
    */
-  #giveWay({ urgency }: Waiting<R>): boolean {
-    if (this.#lessUrgent === 0 || isLessUrgent(urgency)) return false;
-    const longest = [...this.#flows.values()]
+  #makeRoomFor({ urgency }: WaitingRequest<R>): boolean {
+    if (this.#lessUrgentCount === 0 || isLessUrgent(urgency)) return false;
+    const longestFlow = [...this.#flows.values()]
       .filter((flow) => isLessUrgent(flow.last?.urgency ?? 0))
       .reduce((left, right) => (right.length > left.length ? right : left));
-    const { last } = longest;
-    if (!last) return false;
-    this.#leave(longest, last);
-    const waitMilliseconds = this.#timeToReturn(this.estimatedWait);
-    last.settle({ kind: "full", waitMilliseconds });
+    const { last: evicted } = longestFlow;
+    if (!evicted) return false;
+    this.#remove(longestFlow, evicted);
+    const retryAfterMilliseconds = this.#nextRetryDelay(this.estimatedWait);
+    evicted.finish({
+      kind: "full",
+      retryAfterMilliseconds,
+    });
     return true;
   }
 
@@ -173,26 +187,26 @@
   #admitNext(): boolean {
     const flows = [...this.#flows.values()]
       .filter((flow) => flow.length > 0)
-      .sort((left, right) => left.start - right.start);
-    let passed = 0;
-    let partIsFull = false;
+      .sort((left, right) => left.startTag - right.startTag);
+    let skippedAccounts = 0;
+    let isReducedCapacityFull = false;
     for (const flow of flows) {
-      if (passed === LOOK_PAST) return false;
-      const item = flow.head;
-      if (!item) continue;
-      const roomShare = this.#roomShare(item);
-      if (roomShare < 1 && partIsFull) continue;
-      const runner = item.take(roomShare);
+      if (skippedAccounts === MAX_SKIPPED_ACCOUNTS) return false;
+      const request = flow.head;
+      if (!request) continue;
+      const capacityShare = this.#capacityShare(request);
+      if (capacityShare < 1 && isReducedCapacityFull) continue;
+      const runner = request.takeRunner(capacityShare);
       if (runner === undefined) {
         // Those who may use a part only do not use up the looks of others.
-        if (roomShare < 1) partIsFull = true;
-        else passed++;
+        if (capacityShare < 1) isReducedCapacityFull = true;
+        else skippedAccounts++;
         continue;
       }
-      this.#leave(flow, item);
-      this.#virtualTime = Math.max(this.#virtualTime, flow.start);
-      flow.start += shareOf(item);
-      item.settle(this.#admit(runner, this.#now() - item.queuedAt));
+      this.#remove(flow, request);
+      this.#virtualTime = Math.max(this.#virtualTime, flow.startTag);
+      flow.startTag += virtualCost(request);
+      request.finish(this.#admit(runner, this.#now() - request.queuedAt));
       return true;
     }
     return false;
@@ -204,7 +218,7 @@
   }
 
   #insert(
-    waiting: Waiting<R>,
+    waiting: WaitingRequest<R>,
     resolve: (outcome: QueueOutcome<R>) => void,
   ): void {
     const { account } = waiting;
@@ -213,54 +227,63 @@
       new accountFlow.AccountFlow(this.#virtualTime);
     this.#flows.set(account, flow);
     // An account that was away does not save up turns.
-    if (flow.length === 0) flow.start = Math.max(flow.start, this.#virtualTime);
-    const onGone = () => {
-      if (this.#leave(flow, item)) item.settle({ kind: "caller-gone" });
+    if (flow.length === 0)
+      flow.startTag = Math.max(flow.startTag, this.#virtualTime);
+    const onCallerGone = () => {
+      if (this.#remove(flow, request)) request.finish({ kind: "caller-gone" });
     };
-    const item: Item<R> = {
+    const request: QueuedRequest<R> = {
       ...waiting,
       queuedAt: this.#now(),
-      settle: (outcome) => {
-        waiting.signal.removeEventListener("abort", onGone);
+      finish: (outcome) => {
+        waiting.signal.removeEventListener("abort", onCallerGone);
         resolve(outcome);
       },
     };
-    waiting.signal.addEventListener("abort", onGone, { once: true });
-    flow.add(item);
+    waiting.signal.addEventListener("abort", onCallerGone, { once: true });
+    flow.add(request);
     this.#length++;
-    if (isLessUrgent(item.urgency)) this.#lessUrgent++;
+    if (isLessUrgent(request.urgency)) this.#lessUrgentCount++;
     this.parameters.onWaiting?.();
   }
 
-  #leave(flow: accountFlow.AccountFlow<Item<R>>, item: Item<R>): boolean {
-    if (!flow.remove(item)) return false;
+  #remove(
+    flow: accountFlow.AccountFlow<QueuedRequest<R>>,
+    request: QueuedRequest<R>,
+  ): boolean {
+    if (!flow.remove(request)) return false;
     this.#length--;
-    if (isLessUrgent(item.urgency)) this.#lessUrgent--;
+    if (isLessUrgent(request.urgency)) this.#lessUrgentCount--;
     return true;
   }
 
   #dropExpired(): void {
     const now = this.#now();
     for (const [account, flow] of this.#flows) {
-      const late = flow.items.filter((item) => item.deadline <= now);
-      for (const item of late) {
-        this.#leave(flow, item);
-        const waitMilliseconds = now - item.queuedAt;
-        item.settle({ kind: "too-late", waitMilliseconds });
+      const expired = flow.requests.filter(
+        (request) => request.deadline <= now,
+      );
+      for (const request of expired) {
+        this.#remove(flow, request);
+        const retryAfterMilliseconds = now - request.queuedAt;
+        request.finish({
+          kind: "too-late",
+          retryAfterMilliseconds,
+        });
       }
-      const idle = flow.length === 0 && flow.start <= this.#virtualTime;
-      if (idle) this.#flows.delete(account);
+      const isIdle = flow.length === 0 && flow.startTag <= this.#virtualTime;
+      if (isIdle) this.#flows.delete(account);
     }
   }
 }
 
 function isLessUrgent(urgency: number): boolean {
-  return urgency > surgeReserve.USUAL_URGENCY;
+  return urgency > surgeReserve.DEFAULT_URGENCY;
 }
 
 /** How far a request moves its account back; once, if it comes back itself. */
-function shareOf(item: Waiting<unknown>): number {
-  if (item.wasAdmitted) return 0;
-  const urgency = item.urgency - surgeReserve.USUAL_URGENCY;
-  return (item.cost * Math.pow(2, urgency / 2)) / item.weight;
+function virtualCost(request: WaitingRequest<unknown>): number {
+  if (request.wasAdmitted) return 0;
+  const relativeUrgency = request.urgency - surgeReserve.DEFAULT_URGENCY;
+  return (request.cost * Math.pow(2, relativeUrgency / 2)) / request.weight;
 }
--- a/packages/daemon/src/admission/surge_reserve.ts
+++ b/packages/daemon/src/admission/surge_reserve.ts
@@ -1,11 +1,11 @@
-import * as surgeClock from "../forecast/surge_clock.ts";
+import * as surgeForecast from "../forecast/surge_forecast.ts";
 
 /** Urgency of a request whose caller says nothing (RFC 9218). */
-export const USUAL_URGENCY = 3;
+export const DEFAULT_URGENCY = 3;
 /** Time before a surge from which room is kept: long answers last about so. */
-const AHEAD_MILLISECONDS = 60_000;
+const LEAD_MILLISECONDS = 60_000;
 /** Requests a second that one entry takes in its stride at any time. */
-const LEAST_RATE = 2;
+const MIN_SURGE_REQUESTS_PER_SECOND = 2;
 
 /**
  * Keeps room for a surge that the clock brings. Answers that nobody waits for
@@ -14,11 +14,13 @@
  * and in it, less urgent requests get only a part of each runner's room.
  */
 export class SurgeReserve {
-  readonly #clock = new surgeClock.SurgeClock(LEAST_RATE);
+  readonly #forecast = new surgeForecast.SurgeForecast(
+    MIN_SURGE_REQUESTS_PER_SECOND,
+  );
   readonly #wallClock: () => number;
   /** Start of the part of the hour that is being counted. */
-  #partAt: number;
-  #count = 0;
+  #startedAt: number;
+  #requestCount = 0;
   #expected = false;
 
   constructor(
@@ -31,53 +33,63 @@
     },
   ) {
     this.#wallClock = parameters.wallClock ?? Date.now;
-    this.#partAt = partStart(this.#wallClock());
+    this.#startedAt = intervalStart(this.#wallClock());
   }
 
   /** Whether a surge is on or near. */
   get expected(): boolean {
-    this.#roll();
+    this.#advance();
     return this.#expected;
   }
 
   /** Counts a request that arrives; those that can wait make no surge. */
   count(urgency: number): void {
-    this.#roll();
-    if (urgency <= USUAL_URGENCY) this.#count++;
+    this.#advance();
+    if (urgency <= DEFAULT_URGENCY) this.#requestCount++;
   }
 
   /** Part of each runner's room that a request may use. */
-  roomShare(urgency: number): number {
-    if (urgency <= USUAL_URGENCY || !this.expected) return 1;
+  capacityShare(urgency: number): number {
+    if (urgency <= DEFAULT_URGENCY || !this.expected) return 1;
     return 1 - this.parameters.share();
   }
 
   /** Learns from parts of the hour that are over; quiet ones count as such. */
-  #roll(): void {
-    const now = partStart(this.#wallClock());
-    if (now === this.#partAt) return;
-    const parts = (now - this.#partAt) / surgeClock.PART_MILLISECONDS;
+  #advance(): void {
+    const currentStart = intervalStart(this.#wallClock());
+    if (currentStart === this.#startedAt) return;
+    const elapsed =
+      (currentStart - this.#startedAt) / surgeForecast.INTERVAL_MILLISECONDS;
     // After a pause, or a step of the clock, one round of the hour says it all.
-    const quiet = Math.min(Math.max(parts - 1, 0), surgeClock.PARTS);
-    if (parts > 0) this.#learn(this.#count, this.#partAt);
-    for (let back = quiet; back > 0; back--) {
-      this.#learn(0, now - back * surgeClock.PART_MILLISECONDS);
+    const emptyIntervals = Math.min(
+      Math.max(elapsed - 1, 0),
+      surgeForecast.INTERVALS_PER_HOUR,
+    );
+    if (elapsed > 0) this.#observe(this.#requestCount, this.#startedAt);
+    for (let intervalsAgo = emptyIntervals; intervalsAgo > 0; intervalsAgo--) {
+      this.#observe(
+        0,
+        currentStart - intervalsAgo * surgeForecast.INTERVAL_MILLISECONDS,
+      );
     }
-    this.#count = 0;
-    this.#partAt = now;
-    const expected = this.#clock.expectsSurge(now, AHEAD_MILLISECONDS);
+    this.#requestCount = 0;
+    this.#startedAt = currentStart;
+    const expected = this.#forecast.expectsSurge(
+      currentStart,
+      LEAD_MILLISECONDS,
+    );
     if (expected === this.#expected) return;
     this.#expected = expected;
     this.parameters.onChange?.(expected);
   }
 
-  #learn(count: number, partAt: number): void {
-    const seconds = surgeClock.PART_MILLISECONDS / 1_000;
-    this.#clock.observe(count / seconds, partAt);
+  #observe(count: number, startedAt: number): void {
+    const seconds = surgeForecast.INTERVAL_MILLISECONDS / 1_000;
+    this.#forecast.observe(count / seconds, startedAt);
   }
 }
 
-function partStart(wallMilliseconds: number): number {
-  const inPart = wallMilliseconds % surgeClock.PART_MILLISECONDS;
-  return wallMilliseconds - inPart;
+function intervalStart(wallMilliseconds: number): number {
+  const sinceStart = wallMilliseconds % surgeForecast.INTERVAL_MILLISECONDS;
+  return wallMilliseconds - sinceStart;
 }
--- a/packages/daemon/src/dispatch/dispatcher.ts
+++ b/packages/daemon/src/dispatch/dispatcher.ts
@@ -56,7 +56,7 @@
     } finally {
       unwatch();
       this.#running--;
-      this.parameters.queueOf(accepted.service).pump();
+      this.parameters.queueOf(accepted.service).admitWaiting();
     }
   }
 
@@ -69,7 +69,7 @@
     const { router, quarantine } = this.parameters;
     const { service, runnerConcurrency, prefixBlocks } = accepted;
     const { promptTokens, expectedTokens } = accepted;
-    if (!router.exists(service)) {
+    if (!router.hasAvailableRunner(service)) {
       return this.#notRun(request.NotRunReason.NoRunner);
     }
     const held = quarantine.heldMilliseconds(accepted.watched);
@@ -82,7 +82,7 @@
       deadline: accepted.deadline,
       signal: accepted.signal,
       wasAdmitted,
-      take: (roomShare) => {
+      takeRunner: (roomShare) => {
         const limit = Math.max(1, Math.floor(runnerConcurrency * roomShare));
         const runner = router.choose({
           service,
@@ -112,12 +112,12 @@
       case "full":
         return this.#notRun(
           request.NotRunReason.QueueFull,
-          outcome.waitMilliseconds,
+          outcome.retryAfterMilliseconds,
         );
       case "too-late":
         return this.#notRun(
           request.NotRunReason.DeadlineTooNear,
-          outcome.waitMilliseconds,
+          outcome.retryAfterMilliseconds,
         );
       case "caller-gone":
         return {
--- a/packages/daemon/src/entry/accept_work.ts
+++ b/packages/daemon/src/entry/accept_work.ts
@@ -107,5 +107,5 @@
 /** Urgency of a `Priority` header (RFC 9218); anything unclear is the default. */
 export function readUrgency(header: string | string[] | undefined): number {
   const match = /(?:^|,)\s*u=([0-7])\b/.exec(String(header ?? ""));
-  return match ? Number(match[1]) : surgeReserve.USUAL_URGENCY;
+  return match ? Number(match[1]) : surgeReserve.DEFAULT_URGENCY;
 }
--- a/packages/daemon/src/entry/create_context.ts
+++ b/packages/daemon/src/entry/create_context.ts
@@ -110,7 +110,7 @@
   >();
   const queued = new common.ChangeNotice();
   const pump = () => {
-    for (const queue of queues.values()) queue.pump();
+    for (const queue of queues.values()) queue.admitWaiting();
   };
   const runners = new runnerDirectory.RunnerDirectory({
     hosts,
@@ -124,10 +124,11 @@
       certificateAuthority,
       revision: () => keeper.revision,
       onLoad: (runner) => {
-        router.observe(runner);
+        router.observeLoad(runner);
         pump();
       },
-      onCacheEvents: (runner, changes) => router.cacheEvents(runner, changes),
+      onCacheEvents: (runner, changes) =>
+        router.applyCacheEvents(runner, changes),
       onCapacity: pump,
     },
   });
--- a/packages/daemon/src/entry/generate_handler.ts
+++ b/packages/daemon/src/entry/generate_handler.ts
@@ -70,7 +70,7 @@
   });
   const reserved = accepted.promptTokens + accepted.expectedTokens;
   const { name } = welcome.account;
-  const limit = await context.limits.take(name, reserved);
+  const limit = await context.limits.reserve(name, reserved);
   if (limit.kind === "refused") {
     const told = overLimit(limit.retryAfterMilliseconds);
     return problems.sendProblem(response, told);
@@ -174,7 +174,7 @@
     urgency: terms.urgency,
     promptTokens: wire.estimateTokens(prompt),
     expectedTokens: context.lengths.expect(service.name, maximumTokens),
-    prefixBlocks: prefixIndex.prefixBlocks(prompt),
+    prefixBlocks: prefixIndex.hashPrefixBlocks(prompt),
     runnerConcurrency: service.runnerConcurrency,
     window: WINDOW,
     watched: new watchedAttempts.WatchedAttempts(service.name, name),
@@ -218,7 +218,7 @@
     return context.limits.refund(account, reserved);
   }
   const used = accepted.promptTokens + count;
-  context.limits.settle(account, reserved, used);
+  context.limits.reconcile(account, reserved, used);
   if (result.kind !== request.ResultKind.Complete) return;
   context.lengths.observe(accepted.service, count);
 }
--- a/packages/daemon/src/entry/plain_handler.ts
+++ b/packages/daemon/src/entry/plain_handler.ts
@@ -65,7 +65,7 @@
     return problems.sendProblem(response, told);
   }
   const { name } = welcome.account;
-  const limit = await context.limits.take(name, 0);
+  const limit = await context.limits.reserve(name, 0);
   if (limit.kind === "refused") {
     const told = generateHandler.overLimit(limit.retryAfterMilliseconds);
     return problems.sendProblem(response, told);
--- a/packages/daemon/src/entry/start_entry.ts
+++ b/packages/daemon/src/entry/start_entry.ts
@@ -196,7 +196,7 @@
       continue;
     }
     await common.sleep(PUMP_MILLISECONDS, signal);
-    for (const queue of queues.values()) queue.pump();
+    for (const queue of queues.values()) queue.admitWaiting();
   }
 }
 
--- a/packages/daemon/src/expert_map/group_coordinator.ts
+++ b/packages/daemon/src/expert_map/group_coordinator.ts
@@ -2,9 +2,9 @@
 import type * as configuration from "@geraniumkeel/configuration";
 import * as wire from "@geraniumkeel/wire";
 import * as holdBack from "../placement/hold_back.ts";
-import * as hourShape from "../forecast/hour_shape.ts";
+import * as expertLoadForecast from "../forecast/expert_load_forecast.ts";
 import * as placementDecision from "../placement/placement_decision.ts";
-import * as surgeClock from "../forecast/surge_clock.ts";
+import * as surgeForecast from "../forecast/surge_forecast.ts";
 import type * as leaseModule from "../lease/lease.ts";
 import * as groupTerm from "./group_term.ts";
 import * as inspectGroup from "./inspect_group.ts";
@@ -66,8 +66,8 @@
 
 /** Coordinates one group while this entry holds its lease. */
 export class GroupCoordinator {
-  readonly #shape = new hourShape.HourShape();
-  readonly #surges = new surgeClock.SurgeClock();
+  readonly #shape = new expertLoadForecast.ExpertLoadForecast();
+  readonly #surges = new surgeForecast.SurgeForecast();
   #lastPlan: placementDecision.PlacementDecision | undefined;
   #switches = 0;
   /** The term under way. */
@@ -176,7 +176,7 @@
     switch (outcome.kind) {
       case "superseded":
         // The table may have forgotten the number that the ranks remember.
-        this.parameters.lease.outdo(outcome.promised);
+        this.parameters.lease.raiseFencingAbove(outcome.promised);
         return "superseded";
       case "unreached":
         return undefined;
--- a/packages/daemon/src/lease/lease.ts
+++ b/packages/daemon/src/lease/lease.ts
@@ -7,7 +7,7 @@
  * promised to obey one obeys every term of that number. Terms last for seconds, so
  * fewer than this were lost.
  */
-const LOST_TERMS = 1_000;
+const SKIPPED_FENCING_NUMBERS = 1_000;
 
 /** Row of a lease. */
 interface LeaseRow {
@@ -20,7 +20,7 @@
 }
 
 /** The lease as its holder last wrote it. */
-interface HeldLease {
+interface OwnLease {
   fencing: number;
   revision: backingServices.Revision;
   /** When the write was begun, by the holder's clock. */
@@ -34,11 +34,11 @@
  * their own clocks, and for its holder a good deal earlier by its own.
  */
 export class Lease {
-  #held: HeldLease | undefined;
+  #own: OwnLease | undefined;
   /** The row as last seen of another holder, and since when. */
-  #seen: { revision: backingServices.Revision; at: number } | undefined;
+  #observed: { revision: backingServices.Revision; since: number } | undefined;
   /** Fencing numbers up to this one were promised to others. */
-  #outdone = 0;
+  #promisedFencing = 0;
 
   constructor(
     readonly parameters: {
@@ -54,11 +54,11 @@
   /** Fencing number while the lease is surely held. */
   get fencing(): number | undefined {
     const { durationMilliseconds } = this.parameters;
-    if (!this.#held) return undefined;
+    if (!this.#own) return undefined;
     // A lease that the table has forgotten is anybody's.
-    if (this.#held.revision.epoch !== this.#epoch) return undefined;
-    const age = common.now() - this.#held.renewedAt;
-    return age < durationMilliseconds / 2 ? this.#held.fencing : undefined;
+    if (this.#own.revision.epoch !== this.#epoch) return undefined;
+    const age = common.now() - this.#own.renewedAt;
+    return age < durationMilliseconds / 2 ? this.#own.fencing : undefined;
   }
 
   get #epoch(): number {
@@ -69,13 +69,13 @@
    * Takes no fencing number up to this one: somebody promised to obey it. The table may
    * have forgotten that it was given.
    */
-  outdo(fencing: number): void {
-    this.#outdone = Math.max(this.#outdone, fencing);
+  raiseFencingAbove(fencing: number): void {
+    this.#promisedFencing = Math.max(this.#promisedFencing, fencing);
   }
 
   /** Takes or renews the lease; the fencing number if it is held. */
   async renew(): Promise<number | undefined> {
-    if (this.#held) await this.#extend(this.#held);
+    if (this.#own) await this.#extend(this.#own);
     else await this.#acquire();
     return this.fencing;
   }
@@ -85,24 +85,24 @@
    * an old row would have the holder believe that it lost the lease. Nobody else
    * had it since if the row is still at that revision.
    */
-  async #extend(held: HeldLease): Promise<void> {
+  async #extend(own: OwnLease): Promise<void> {
     const renewedAt = common.now();
-    const outcome = await this.#write(held.revision, held.fencing);
+    const outcome = await this.#write(own.revision, own.fencing);
     switch (outcome.kind) {
       case backingServices.DefiniteKind.Committed:
-        this.#held = { ...held, revision: outcome.revision, renewedAt };
+        this.#own = { ...own, revision: outcome.revision, renewedAt };
         return;
       case backingServices.DefiniteKind.Conflict: {
         const { row } = outcome;
         // An earlier write of ours may have landed after it was given up.
-        const ownLateWrite = row && this.#isOwn(row, held.fencing);
-        this.#held = ownLateWrite
-          ? { ...held, revision: row.revision }
+        const isOwnLateWrite = row && this.#isOwnTerm(row, own.fencing);
+        this.#own = isOwnLateWrite
+          ? { ...own, revision: row.revision }
           : undefined;
         return;
       }
       case backingServices.DefiniteKind.PastEpoch:
-        this.#held = undefined;
+        this.#own = undefined;
         return;
       case backingServices.DefiniteKind.NotWritten:
       case backingServices.DefiniteKind.GivenUp:
@@ -116,15 +116,15 @@
     if (read.isErr()) return;
     const row = read.value;
     const lease = row && parseLease(row);
-    const own = lease && this.#isOfThisLife(lease);
-    if (row && !own && !this.#lapsed(row)) return;
+    const isOwnRow = lease && this.#isOfThisIncarnation(lease);
+    if (row && !isOwnRow && !this.#hasExpired(row)) return;
     const epoch = this.#epoch;
     const fencing = this.#nextFencing(lease);
     const outcome = await this.#write(row?.revision, fencing);
     if (outcome.kind !== backingServices.DefiniteKind.Committed) return;
     // Written where there was none, in an epoch that began meanwhile.
     if (outcome.revision.epoch !== epoch) return;
-    this.#held = { fencing, revision: outcome.revision, renewedAt };
+    this.#own = { fencing, revision: outcome.revision, renewedAt };
   }
 
   /**
@@ -133,17 +133,19 @@
    */
   #nextFencing(last: LeaseRow | undefined): number {
     const epoch = this.#epoch;
-    const forgotten = last?.epoch === epoch ? 0 : LOST_TERMS;
-    const next = last ? last.fencing + 1 + forgotten : epoch * LOST_TERMS + 1;
-    return Math.max(next, this.#outdone + 1);
+    const skipped = last?.epoch === epoch ? 0 : SKIPPED_FENCING_NUMBERS;
+    const next = last
+      ? last.fencing + 1 + skipped
+      : epoch * SKIPPED_FENCING_NUMBERS + 1;
+    return Math.max(next, this.#promisedFencing + 1);
   }
 
   /** Whether this process wrote a row, and the table has lost nothing since. */
-  #isOfThisLife({ incarnation, epoch }: LeaseRow): boolean {
+  #isOfThisIncarnation({ incarnation, epoch }: LeaseRow): boolean {
     return incarnation === this.parameters.incarnation && epoch === this.#epoch;
   }
 
-  #isOwn(row: backingServices.Row, fencing: number): boolean {
+  #isOwnTerm(row: backingServices.Row, fencing: number): boolean {
     const lease = parseLease(row);
     const { incarnation } = this.parameters;
     return lease.incarnation === incarnation && lease.fencing === fencing;
@@ -151,38 +153,38 @@
 
   /** Gives the lease up, so that the next holder need not wait. */
   async release(): Promise<void> {
-    const held = this.#held;
-    this.#held = undefined;
-    if (!held) return;
+    const own = this.#own;
+    this.#own = undefined;
+    if (!own) return;
     const { table, key } = this.parameters;
     const row: LeaseRow = {
       holder: "",
       incarnation: "",
-      fencing: held.fencing,
-      epoch: held.revision.epoch,
+      fencing: own.fencing,
+      epoch: own.revision.epoch,
       nonce: common.randomIdentifier(),
     };
     await table.transact({
-      conditions: [backingServices.atRevision(key, held.revision)],
+      conditions: [backingServices.atRevision(key, own.revision)],
       writes: [backingServices.putRow(key, JSON.stringify(row))],
     });
   }
 
-  #lapsed(row: backingServices.Row): boolean {
+  #hasExpired(row: backingServices.Row): boolean {
     const { holder, epoch } = parseLease(row);
     // What a table has lost with its last seconds may have been a holder, who knows
     // nothing of it for some time.
     if (holder === "" && epoch === this.#epoch) return true;
     const now = common.now();
-    const isSeen = backingServices.isSameRevision(
-      this.#seen?.revision,
+    const isUnchanged = backingServices.isSameRevision(
+      this.#observed?.revision,
       row.revision,
     );
-    if (!this.#seen || !isSeen) {
-      this.#seen = { revision: row.revision, at: now };
+    if (!this.#observed || !isUnchanged) {
+      this.#observed = { revision: row.revision, since: now };
       return false;
     }
-    return now - this.#seen.at > this.parameters.durationMilliseconds;
+    return now - this.#observed.since > this.parameters.durationMilliseconds;
   }
 
   /** Writes the row in place of a revision, or where there is none. */
--- a/packages/daemon/src/placement/hold_back.ts
+++ b/packages/daemon/src/placement/hold_back.ts
@@ -1,5 +1,5 @@
 import type * as placementDecision from "./placement_decision.ts";
-import type * as surgeClock from "../forecast/surge_clock.ts";
+import type * as surgeForecast from "../forecast/surge_forecast.ts";
 
 /** Time before a surge in which no switch begins: loading takes as long. */
 const GUARD_MILLISECONDS = 60_000;
@@ -13,7 +13,7 @@
  */
 export function isHeldBack(parameters: {
   decision: placementDecision.PlacementDecision;
-  clock: surgeClock.SurgeClock;
+  clock: surgeForecast.SurgeForecast;
   wallMilliseconds: number;
 }): boolean {
   const { decision, clock, wallMilliseconds } = parameters;
--- a/packages/daemon/src/routing/choose_group.ts
+++ b/packages/daemon/src/routing/choose_group.ts
@@ -25,26 +25,36 @@
 export function chooseGroup(parameters: {
   candidates: GroupCandidate[];
   /** Steps that the request is expected to take. */
-  steps: number;
+  iterations: number;
   random: common.Random;
 }): number | undefined {
-  const { candidates, steps, random } = parameters;
+  const { candidates, iterations, random } = parameters;
   if (candidates.length === 0) return undefined;
-  const costs = candidates.map((one) => costMilliseconds(one, steps));
-  const best = costs.indexOf(Math.min(...costs));
-  const limit = (1 + NEAR_BEST_SHARE) * costs[best];
+  const costs = candidates.map((candidate) =>
+    costMilliseconds(candidate, iterations),
+  );
+  const bestIndex = costs.indexOf(Math.min(...costs));
+  const costLimit = (1 + NEAR_BEST_SHARE) * costs[bestIndex];
   // Sharing is no reason to go farther than the best one is.
-  const farthest = candidates[best].distanceMilliseconds;
-  const near = candidates.flatMap(({ distanceMilliseconds }, index) =>
-    costs[index] <= limit && distanceMilliseconds <= farthest ? [index] : [],
+  const maxDistanceMilliseconds = candidates[bestIndex].distanceMilliseconds;
+  const nearBest = candidates.flatMap(({ distanceMilliseconds }, index) =>
+    costs[index] <= costLimit && distanceMilliseconds <= maxDistanceMilliseconds
+      ? [index]
+      : [],
   );
-  return random.pick(near);
+  return random.pick(nearBest);
 }
 
 /** Delay of all others per step, and the request's own time per step. */
-function costMilliseconds(candidate: GroupCandidate, steps: number): number {
+function costMilliseconds(
+  candidate: GroupCandidate,
+  iterations: number,
+): number {
   const { sequences, rank, distanceMilliseconds } = candidate;
-  const ownMilliseconds = Math.max(rank.before, rank.after);
-  const way = (2 * distanceMilliseconds) / Math.max(1, steps);
-  return rank.growth * sequences + ownMilliseconds + way;
+  const ownMilliseconds = Math.max(
+    rank.iterationMilliseconds,
+    rank.rankMilliseconds,
+  );
+  const roundTrip = (2 * distanceMilliseconds) / Math.max(1, iterations);
+  return rank.growthMilliseconds * sequences + ownMilliseconds + roundTrip;
 }
--- a/packages/daemon/src/routing/choose_rank.ts
+++ b/packages/daemon/src/routing/choose_rank.ts
@@ -1,10 +1,10 @@
 import type * as common from "@geraniumkeel/common";
-import type * as stepCost from "./step_cost.ts";
+import type * as iterationTimeModel from "./iteration_time_model.ts";
 
 /** One rank as a candidate for a request. */
 export interface RankCandidate {
   rank: number;
-  work: stepCost.RankWork;
+  work: iterationTimeModel.RankWork;
   /** Whether it may be chosen; others still count for the group's step time. */
   eligible: boolean;
   /** Prompt tokens whose KV cache it is believed to hold. */
@@ -23,11 +23,11 @@
 export interface RankChoice {
   index: number;
   /** The group's step time before the request, in milliseconds. */
-  before: number;
+  iterationMilliseconds: number;
   /** Growth of the group's step time in milliseconds. */
-  growth: number;
+  growthMilliseconds: number;
   /** The rank's step time after the request, in milliseconds. */
-  after: number;
+  rankMilliseconds: number;
 }
 
 /**
@@ -45,46 +45,68 @@
  */
 export function chooseRank(parameters: {
   candidates: RankCandidate[];
-  cost: stepCost.StepCost;
+  timeModel: iterationTimeModel.IterationTimeModel;
   size: RequestSize;
   random: common.Random;
 }): RankChoice | undefined {
-  const { candidates, cost, size, random } = parameters;
-  let slowest = 0;
+  const { candidates, timeModel, size, random } = parameters;
+  let slowestMilliseconds = 0;
   for (const { rank, work } of candidates) {
-    slowest = Math.max(slowest, cost.predict(rank, work));
+    slowestMilliseconds = Math.max(
+      slowestMilliseconds,
+      timeModel.predictMilliseconds(rank, work),
+    );
   }
   const choices: (RankChoice & { score: number })[] = [];
-  let best = Infinity;
-  const steps = Math.max(size.expectedTokens, 1);
+  let bestScore = Infinity;
+  const iterations = Math.max(size.expectedTokens, 1);
   for (let index = 0; index < candidates.length; index++) {
     const candidate = candidates[index];
     if (!candidate.eligible) continue;
-    const after = cost.predict(candidate.rank, withRequest(candidate, size));
-    const growth = Math.max(0, after - slowest);
-    const distance = (2 * candidate.distanceMilliseconds) / steps;
-    const score = after + GROWTH_WEIGHT * growth + distance;
-    best = Math.min(best, score);
-    choices.push({ index, before: slowest, growth, after, score });
+    const rankMilliseconds = timeModel.predictMilliseconds(
+      candidate.rank,
+      withRequest(candidate, size),
+    );
+    const growthMilliseconds = Math.max(
+      0,
+      rankMilliseconds - slowestMilliseconds,
+    );
+    const roundTripPerIteration =
+      (2 * candidate.distanceMilliseconds) / iterations;
+    const score =
+      rankMilliseconds +
+      GROWTH_WEIGHT * growthMilliseconds +
+      roundTripPerIteration;
+    bestScore = Math.min(bestScore, score);
+    choices.push({
+      index,
+      iterationMilliseconds: slowestMilliseconds,
+      growthMilliseconds,
+      rankMilliseconds,
+      score,
+    });
   }
   if (choices.length === 0) return undefined;
-  const limit = best + NEAR_BEST_SHARE * slowest;
-  const near = choices.filter((choice) => choice.score <= limit);
-  return random.pick(near);
+  const scoreLimit = bestScore + NEAR_BEST_SHARE * slowestMilliseconds;
+  const nearBest = choices.filter((choice) => choice.score <= scoreLimit);
+  return random.pick(nearBest);
 }
 
 /** The rank's work with the request added, averaged over the request's life. */
 function withRequest(
   candidate: RankCandidate,
   size: RequestSize,
-): stepCost.RankWork {
+): iterationTimeModel.RankWork {
   const { work } = candidate;
-  const fresh = Math.max(0, size.promptTokens - candidate.prefixTokens);
-  const steps = Math.max(size.expectedTokens, 1);
-  const cached = size.promptTokens + size.expectedTokens / 2;
+  const uncachedTokens = Math.max(
+    0,
+    size.promptTokens - candidate.prefixTokens,
+  );
+  const iterations = Math.max(size.expectedTokens, 1);
+  const meanCachedTokens = size.promptTokens + size.expectedTokens / 2;
   return {
     sequences: work.sequences + 1,
-    cachedTokens: work.cachedTokens + cached,
-    prefillTokens: work.prefillTokens + fresh / steps,
+    cachedTokens: work.cachedTokens + meanCachedTokens,
+    prefillTokens: work.prefillTokens + uncachedTokens / iterations,
   };
 }
--- /dev/null
+++ b/packages/daemon/src/routing/iteration_time_model.ts
@@ -0,0 +1,128 @@
+/** What a rank's step time depends on. */
+export interface RankWork {
+  sequences: number;
+  cachedTokens: number;
+  prefillTokens: number;
+}
+
+/** Number of coefficients: constant, sequence, cached token, prefill token. */
+const COEFFICIENT_COUNT = 4;
+/** How fast old observations lose weight; about the last 500 count. */
+const FORGETTING_FACTOR = 0.998;
+/** Inputs are scaled so that typical values are near 1. */
+const INPUT_SCALES = [1, 1 / 16, 1 / 8_192, 1 / 1_024];
+const INITIAL_VARIANCE = 100;
+const SLOWDOWN_SMOOTHING = 0.05;
+const MAX_SLOWDOWN = 8;
+
+/** Starting point before anything was observed, in milliseconds. */
+const INITIAL_COEFFICIENTS = [6, 0.8, 0.8, 2];
+
+/**
+ * Step time of a rank as a + b·sequences + c·cached tokens + d·prefill tokens,
+ * fitted online by recursive least squares over all ranks of a group. What a
+ * rank takes beyond that, for hot experts or slow hardware, is its own bias.
+ */
+export class IterationTimeModel {
+  readonly #coefficients = Float64Array.from(INITIAL_COEFFICIENTS);
+  readonly #covariance = new Float64Array(
+    COEFFICIENT_COUNT * COEFFICIENT_COUNT,
+  );
+  readonly #slowdowns = new Map<number, number>();
+  readonly #input = new Float64Array(COEFFICIENT_COUNT);
+  readonly #gain = new Float64Array(COEFFICIENT_COUNT);
+
+  constructor() {
+    for (let index = 0; index < COEFFICIENT_COUNT; index++) {
+      this.#covariance[index * COEFFICIENT_COUNT + index] = INITIAL_VARIANCE;
+    }
+  }
+
+  /** Fitted coefficients in milliseconds per unit, for the state dump. */
+  get coefficients(): {
+    constant: number;
+    perSequence: number;
+    perCachedToken: number;
+    perPrefillToken: number;
+  } {
+    const [constant, sequence, cached, prefill] = this.#coefficients;
+    return {
+      constant,
+      perSequence: sequence * INPUT_SCALES[1],
+      perCachedToken: cached * INPUT_SCALES[2],
+      perPrefillToken: prefill * INPUT_SCALES[3],
+    };
+  }
+
+  /** How much slower than the others a rank is at the same work. */
+  slowdown(rank: number): number {
+    return this.#slowdowns.get(rank) ?? 1;
+  }
+
+  /** Predicted step time of a rank in milliseconds. */
+  predictMilliseconds(rank: number, work: RankWork): number {
+    return this.slowdown(rank) * this.#predictWithoutSlowdown(work);
+  }
+
+  /** Predicted step time without the rank's bias. */
+  #predictWithoutSlowdown(work: RankWork): number {
+    const coefficients = this.#coefficients;
+    const milliseconds =
+      coefficients[0] +
+      coefficients[1] * INPUT_SCALES[1] * work.sequences +
+      coefficients[2] * INPUT_SCALES[2] * work.cachedTokens +
+      coefficients[3] * INPUT_SCALES[3] * work.prefillTokens;
+    return Math.max(milliseconds, 0.01);
+  }
+
+  /** Takes in an observed step time of a rank. */
+  observe(rank: number, work: RankWork, milliseconds: number): void {
+    const slowdown = this.slowdown(rank);
+    this.#fit(work, milliseconds / slowdown);
+    const ratio = milliseconds / this.#predictWithoutSlowdown(work);
+    const next = slowdown + SLOWDOWN_SMOOTHING * (ratio - slowdown);
+    const bounded = Math.min(Math.max(next, 1 / MAX_SLOWDOWN), MAX_SLOWDOWN);
+    this.#slowdowns.set(rank, bounded);
+  }
+
+  /** One step of recursive least squares with forgetting. */
+  #fit(work: RankWork, targetMilliseconds: number): void {
+    const input = this.#input;
+    const covariance = this.#covariance;
+    const gain = this.#gain;
+    input[0] = 1;
+    input[1] = work.sequences * INPUT_SCALES[1];
+    input[2] = work.cachedTokens * INPUT_SCALES[2];
+    input[3] = work.prefillTokens * INPUT_SCALES[3];
+    let denominator = FORGETTING_FACTOR;
+    for (let row = 0; row < COEFFICIENT_COUNT; row++) {
+      let sum = 0;
+      for (let column = 0; column < COEFFICIENT_COUNT; column++) {
+        sum += covariance[row * COEFFICIENT_COUNT + column] * input[column];
+      }
+      gain[row] = sum;
+      denominator += input[row] * sum;
+    }
+    let errorMilliseconds = targetMilliseconds;
+    for (let row = 0; row < COEFFICIENT_COUNT; row++) {
+      errorMilliseconds -= this.#coefficients[row] * input[row];
+    }
+    for (let row = 0; row < COEFFICIENT_COUNT; row++) {
+      this.#coefficients[row] += (gain[row] / denominator) * errorMilliseconds;
+    }
+    for (let row = 0; row < COEFFICIENT_COUNT; row++) {
+      for (let column = 0; column < COEFFICIENT_COUNT; column++) {
+        const change = (gain[row] * gain[column]) / denominator;
+        const value =
+          (covariance[row * COEFFICIENT_COUNT + column] - change) /
+          FORGETTING_FACTOR;
+        // Without new information the covariance would grow without bound, and
+        // one odd report would throw the fit far off.
+        covariance[row * COEFFICIENT_COUNT + column] = Math.min(
+          value,
+          INITIAL_VARIANCE,
+        );
+      }
+    }
+  }
+}
--- a/packages/daemon/src/routing/router.ts
+++ b/packages/daemon/src/routing/router.ts
@@ -6,18 +6,18 @@
 import * as chooseGroup from "./choose_group.ts";
 import * as chooseRank from "./choose_rank.ts";
 import * as prefixIndex from "./prefix_index.ts";
-import * as stepCost from "./step_cost.ts";
+import * as iterationTimeModel from "./iteration_time_model.ts";
 
 /** Time without a step, with work at hand, after which a runner is spared. */
-const STALLED_MILLISECONDS = 1_000;
+const STALL_TIMEOUT_MILLISECONDS = 1_000;
 /** Time in which a spared runner comes back to its full share. */
-const RESTORE_MILLISECONDS = 5_000;
+const RAMP_UP_MILLISECONDS = 5_000;
 /** One-way distance by class: same place, same region, beyond. */
 const DISTANCE_MILLISECONDS = [0, 1.5, 30];
 const LATENCY_SMOOTHING = 0.1;
 const INITIAL_LATENCY_MILLISECONDS = 10;
 /** Choices kept for the state dump. */
-const EXPLAINED_CHOICES = 32;
+const MAX_EXPLANATIONS = 32;
 
 /** A request looking for a runner. */
 export interface RoutingRequest {
@@ -40,10 +40,13 @@
 
 /** Chooses runners for requests. */
 export class Router {
-  readonly #costs = new Map<string, stepCost.StepCost>();
+  readonly #timeModels = new Map<
+    string,
+    iterationTimeModel.IterationTimeModel
+  >();
   readonly #prefixes = new prefixIndex.PrefixIndex();
-  readonly #latencies = new Map<string, number>();
-  readonly #spared = new Map<string, number>();
+  readonly #latencyMilliseconds = new Map<string, number>();
+  readonly #suspendedAt = new Map<string, number>();
   readonly #restoredAt = new Map<string, number>();
   readonly #explanations: Explanation[] = [];
 
@@ -57,14 +60,18 @@
   ) {}
 
   /** Takes in a load report. */
-  observe(runner: runnerLink.RunnerLink): void {
+  observeLoad(runner: runnerLink.RunnerLink): void {
     const { load, hello } = runner;
     if (!hello?.group || load.rankMilliseconds <= 0) return;
-    this.#cost(hello.group).observe(hello.rank, load, load.rankMilliseconds);
+    this.#timeModelOf(hello.group).observe(
+      hello.rank,
+      load,
+      load.rankMilliseconds,
+    );
   }
 
   /** Takes in cache events. */
-  cacheEvents(
+  applyCacheEvents(
     runner: runnerLink.RunnerLink,
     changes: wire.CacheChange[],
   ): void {
@@ -73,13 +80,14 @@
 
   /** Takes in the latency of a plain call, in milliseconds. */
   observeLatency(runner: string, milliseconds: number): void {
-    const known = this.#latencies.get(runner) ?? INITIAL_LATENCY_MILLISECONDS;
+    const known =
+      this.#latencyMilliseconds.get(runner) ?? INITIAL_LATENCY_MILLISECONDS;
     const next = known + LATENCY_SMOOTHING * (milliseconds - known);
-    this.#latencies.set(runner, next);
+    this.#latencyMilliseconds.set(runner, next);
   }
 
   /** Whether any runner of the service could ever take the request. */
-  exists(service: string): boolean {
+  hasAvailableRunner(service: string): boolean {
     return this.parameters.runners
       .ofService(service)
       .some((runner) => runner.available);
@@ -91,12 +99,14 @@
    * would have the request, and all behind it, wait until its deadline.
    */
   choose(request: RoutingRequest): runnerLink.RunnerLink | undefined {
-    const chosen = this.#chooseOnce(request);
+    const chosen = this.#chooseNotExcluded(request);
     if (chosen || request.excluded.size === 0) return chosen;
-    return this.#chooseOnce({ ...request, excluded: new Set() });
+    return this.#chooseNotExcluded({ ...request, excluded: new Set() });
   }
 
-  #chooseOnce(request: RoutingRequest): runnerLink.RunnerLink | undefined {
+  #chooseNotExcluded(
+    request: RoutingRequest,
+  ): runnerLink.RunnerLink | undefined {
     const runners = this.parameters.runners.ofService(request.service);
     const groups = new Map<string, runnerLink.RunnerLink[]>();
     for (const runner of runners) {
@@ -112,17 +122,22 @@
   describe(): unknown {
     return {
       costs: Object.fromEntries(
-        [...this.#costs].map(([group, cost]) => [group, cost.coefficients]),
+        [...this.#timeModels].map(([group, timeModel]) => [
+          group,
+          timeModel.coefficients,
+        ]),
       ),
-      spared: [...this.#spared.keys()],
+      spared: [...this.#suspendedAt.keys()],
       recentChoices: this.#explanations,
     };
   }
 
-  #cost(group: string): stepCost.StepCost {
-    const cost = this.#costs.get(group) ?? new stepCost.StepCost();
-    this.#costs.set(group, cost);
-    return cost;
+  #timeModelOf(group: string): iterationTimeModel.IterationTimeModel {
+    const timeModel =
+      this.#timeModels.get(group) ??
+      new iterationTimeModel.IterationTimeModel();
+    this.#timeModels.set(group, timeModel);
+    return timeModel;
   }
 
   /** The best rank of each group, then the group that it delays least. */
@@ -132,23 +147,30 @@
   ): runnerLink.RunnerLink | undefined {
     const { random } = this.parameters;
     const candidates = [...groups].flatMap(([group, runners]) => {
-      const ranks = runners.map((one) => this.#candidate(one, request));
-      const cost = this.#cost(group);
+      const rankCandidates = runners.map((member) =>
+        this.#candidate(member, request),
+      );
+      const timeModel = this.#timeModelOf(group);
       const { size } = request;
-      const choose = { candidates: ranks, cost, size, random };
-      const rank = chooseRank.chooseRank(choose);
+      const parameters = {
+        candidates: rankCandidates,
+        timeModel,
+        size,
+        random,
+      };
+      const rank = chooseRank.chooseRank(parameters);
       if (!rank) return [];
-      const sequences = ranks.reduce(
+      const sequences = rankCandidates.reduce(
         (sum, { work }) => sum + work.sequences,
         0,
       );
       const runner = runners[rank.index];
-      const distanceMilliseconds = this.#distance(runner);
+      const distanceMilliseconds = this.#distanceTo(runner);
       return [{ sequences, rank, runner, distanceMilliseconds }];
     });
     const index = chooseGroup.chooseGroup({
       candidates,
-      steps: request.size.expectedTokens,
+      iterations: request.size.expectedTokens,
       random,
     });
     if (index === undefined) return undefined;
@@ -156,10 +178,10 @@
     this.#explain({
       runner: runner.host.name,
       groups: candidates.length,
-      growth: rank.growth,
-      after: rank.after,
+      growth: rank.growthMilliseconds,
+      after: rank.rankMilliseconds,
     });
-    this.#prefixes.expect(runner.host.name, request.prefixBlocks);
+    this.#prefixes.assumeCached(runner.host.name, request.prefixBlocks);
     return runner;
   }
 
@@ -176,51 +198,58 @@
         cachedTokens: load.cachedTokens + pendingTokens,
         prefillTokens: load.prefillTokens + pendingTokens,
       },
-      eligible: this.#eligible(runner, request),
-      prefixTokens: this.#prefixes.match(host.name, request.prefixBlocks),
-      distanceMilliseconds: this.#distance(runner),
+      eligible: this.#isEligible(runner, request),
+      prefixTokens: this.#prefixes.countCachedTokens(
+        host.name,
+        request.prefixBlocks,
+      ),
+      distanceMilliseconds: this.#distanceTo(runner),
     };
   }
 
-  #eligible(runner: runnerLink.RunnerLink, request: RoutingRequest): boolean {
+  #isEligible(runner: runnerLink.RunnerLink, request: RoutingRequest): boolean {
     const { name } = runner.host;
     if (!runner.available || request.excluded.has(name)) return false;
-    if (runner.isFull || this.#stalled(runner)) return false;
-    const limit = request.runnerConcurrency * this.#share(name);
+    if (runner.isFull || this.#updateSuspension(runner)) return false;
+    const limit = request.runnerConcurrency * this.#concurrencyShare(name);
     return runner.sequences < Math.max(1, limit);
   }
 
   /** A runner that does not step although it has work is spared for now. */
-  #stalled(runner: runnerLink.RunnerLink): boolean {
+  #updateSuspension(runner: runnerLink.RunnerLink): boolean {
     const { name } = runner.host;
-    const quiet = common.now() - runner.progressAt;
-    const busy = runner.load.sequences > 0 && runner.hello?.group !== "";
-    const stalled = busy && quiet > STALLED_MILLISECONDS;
+    const sinceProgressMilliseconds = common.now() - runner.progressAt;
+    const hasWork = runner.load.sequences > 0 && runner.hello?.group !== "";
+    const isStalled =
+      hasWork && sinceProgressMilliseconds > STALL_TIMEOUT_MILLISECONDS;
     const { logger } = this.parameters;
-    if (stalled && !this.#spared.has(name)) {
-      this.#spared.set(name, common.now());
-      logger.event(common.EventCode.RunnerSpared, { runner: name, quiet });
+    if (isStalled && !this.#suspendedAt.has(name)) {
+      this.#suspendedAt.set(name, common.now());
+      logger.event(common.EventCode.RunnerSpared, {
+        runner: name,
+        quiet: sinceProgressMilliseconds,
+      });
     }
-    if (!stalled && this.#spared.delete(name)) {
+    if (!isStalled && this.#suspendedAt.delete(name)) {
       this.#restoredAt.set(name, common.now());
       logger.event(common.EventCode.RunnerRestored, { runner: name });
     }
-    return stalled;
+    return isStalled;
   }
 
   /** A runner that comes back gets its share by and by, not at once. */
-  #share(name: string): number {
+  #concurrencyShare(name: string): number {
     const restoredAt = this.#restoredAt.get(name);
     if (restoredAt === undefined) return 1;
-    const share = (common.now() - restoredAt) / RESTORE_MILLISECONDS;
+    const share = (common.now() - restoredAt) / RAMP_UP_MILLISECONDS;
     if (share >= 1) this.#restoredAt.delete(name);
     return Math.min(1, share);
   }
 
-  #distance(runner: runnerLink.RunnerLink): number {
+  #distanceTo(runner: runnerLink.RunnerLink): number {
     const { position } = this.parameters;
-    const distance = subscription.distanceClass(position, runner.host);
-    return DISTANCE_MILLISECONDS[distance];
+    const distanceClass = subscription.distanceClass(position, runner.host);
+    return DISTANCE_MILLISECONDS[distanceClass];
   }
 
   /** Of two runners taken at random, the one that should answer sooner. */
@@ -228,23 +257,29 @@
     runners: runnerLink.RunnerLink[],
     request: RoutingRequest,
   ): runnerLink.RunnerLink | undefined {
-    const eligible = runners.filter((one) => this.#eligible(one, request));
+    const eligible = runners.filter((runner) =>
+      this.#isEligible(runner, request),
+    );
     if (eligible.length === 0) return undefined;
     const { random } = this.parameters;
     const first = random.pick(eligible);
     const second = random.pick(eligible);
-    return this.#expected(first) <= this.#expected(second) ? first : second;
+    return this.#expectedMilliseconds(first) <=
+      this.#expectedMilliseconds(second)
+      ? first
+      : second;
   }
 
-  #expected(runner: runnerLink.RunnerLink): number {
+  #expectedMilliseconds(runner: runnerLink.RunnerLink): number {
     const { name } = runner.host;
-    const latency = this.#latencies.get(name) ?? INITIAL_LATENCY_MILLISECONDS;
-    return (runner.sequences + 1) * latency + 2 * this.#distance(runner);
+    const latency =
+      this.#latencyMilliseconds.get(name) ?? INITIAL_LATENCY_MILLISECONDS;
+    return (runner.sequences + 1) * latency + 2 * this.#distanceTo(runner);
   }
 
   #explain(explanation: Explanation): void {
     this.#explanations.push(explanation);
-    if (this.#explanations.length > EXPLAINED_CHOICES) {
+    if (this.#explanations.length > MAX_EXPLANATIONS) {
       this.#explanations.shift();
     }
   }
--- a/packages/stand_ins/src/measure/groups_model.ts
+++ b/packages/stand_ins/src/measure/groups_model.ts
@@ -1,7 +1,7 @@
 import * as common from "@geraniumkeel/common";
 import * as chooseGroup from "@geraniumkeel/daemon/routing/choose_group";
 import * as chooseRank from "@geraniumkeel/daemon/routing/choose_rank";
-import * as stepCost from "@geraniumkeel/daemon/routing/step_cost";
+import * as iterationTimeModel from "@geraniumkeel/daemon/routing/iteration_time_model";
 import * as lockStepRank from "./lock_step_rank.ts";
 import * as statistics from "./statistics.ts";
 
@@ -44,8 +44,8 @@
 export class GroupsModel {
   readonly #random: common.Random;
   readonly #groups: Group[];
-  readonly #views: stepCost.RankWork[][][];
-  readonly #costs: stepCost.StepCost[][];
+  readonly #views: iterationTimeModel.RankWork[][][];
+  readonly #costs: iterationTimeModel.IterationTimeModel[][];
   readonly #skews: number[] = [];
   readonly #tokens: number[] = [];
   readonly #firstTokens: number[] = [];
@@ -66,7 +66,7 @@
       this.#groups.map(({ ranks }) => ranks.map(lockStepRank.workOf)),
     );
     this.#costs = this.#views.map(() =>
-      this.#groups.map(() => new stepCost.StepCost()),
+      this.#groups.map(() => new iterationTimeModel.IterationTimeModel()),
     );
   }
 
@@ -136,7 +136,7 @@
       case GroupPolicy.Random:
         return random.below(GROUPS);
       case GroupPolicy.FastestRank: {
-        const after = candidates.map(({ rank }) => rank.after);
+        const after = candidates.map(({ rank }) => rank.rankMilliseconds);
         return after.indexOf(Math.min(...after));
       }
       case GroupPolicy.TwoChoices: {
@@ -150,7 +150,7 @@
         return (
           chooseGroup.chooseGroup({
             candidates,
-            steps: EXPECTED_TOKENS,
+            iterations: EXPECTED_TOKENS,
             random,
           }) ?? 0
         );
@@ -171,7 +171,7 @@
         prefixTokens: 0,
         distanceMilliseconds: 0,
       })),
-      cost: this.#costs[entry][group],
+      timeModel: this.#costs[entry][group],
       size: { promptTokens, expectedTokens: EXPECTED_TOKENS },
       random: this.#random,
     });
--- a/packages/stand_ins/src/measure/lock_step_rank.ts
+++ b/packages/stand_ins/src/measure/lock_step_rank.ts
@@ -1,5 +1,5 @@
 import type * as common from "@geraniumkeel/common";
-import type * as stepCost from "@geraniumkeel/daemon/routing/step_cost";
+import type * as iterationTimeModel from "@geraniumkeel/daemon/routing/iteration_time_model";
 
 /** A request at a rank. */
 export interface Sequence {
@@ -41,7 +41,7 @@
 }
 
 /** What a load report would tell of a rank. */
-export function workOf(rank: Rank): stepCost.RankWork {
+export function workOf(rank: Rank): iterationTimeModel.RankWork {
   let cachedTokens = 0;
   let prefillTokens = 0;
   for (const one of rank.sequences) {
--- a/packages/stand_ins/src/measure/measure_admission.ts
+++ b/packages/stand_ins/src/measure/measure_admission.ts
@@ -80,7 +80,7 @@
   const fair = policy === AdmissionPolicy.GlobalFair;
   const limit = () => 100_000;
   const queue = new serviceQueue.ServiceQueue<true>({ limit, clock });
-  const onFree = () => queue.pump();
+  const onFree = () => queue.admitWaiting();
   const runners = new virtualRunners.VirtualRunners({ time, random, onFree });
   const waits: number[] = [];
   let answeredGreedy = 0;
@@ -95,7 +95,7 @@
     const who = fair ? String(account) : "all";
     const { take } = runners;
     const outcome = queue.enter(
-      virtualRequest.virtualRequest({ account: who, take }),
+      virtualRequest.virtualRequest({ account: who, takeRunner: take }),
     );
     const served = () => {
       const late = runners.serve() - arrivedAt > DEADLINE_MILLISECONDS;
--- a/packages/stand_ins/src/measure/measure_placement.ts
+++ b/packages/stand_ins/src/measure/measure_placement.ts
@@ -1,6 +1,6 @@
 import * as common from "@geraniumkeel/common";
 import * as fullRepack from "@geraniumkeel/daemon/placement/full_repack";
-import * as hourShape from "@geraniumkeel/daemon/forecast/hour_shape";
+import * as expertLoadForecast from "@geraniumkeel/daemon/forecast/expert_load_forecast";
 import * as planPlacement from "@geraniumkeel/daemon/placement/plan_placement";
 import * as plots from "./plots.ts";
 import * as rangePlacement from "./range_placement.ts";
@@ -108,7 +108,7 @@
   const kinds = Array.from({ length: KINDS }, () =>
     expertPopularity.expertPopularity(size, random),
   );
-  const shape = new hourShape.HourShape();
+  const shape = new expertLoadForecast.ExpertLoadForecast();
   // The first map was made for the first hour's load, as any operator would.
   let places = fullRepack.fullRepack({
     ...size,
--- a/packages/stand_ins/src/measure/measure_reserve.ts
+++ b/packages/stand_ins/src/measure/measure_reserve.ts
@@ -83,7 +83,7 @@
     clock,
     reserve: reserveOf(policy, clock),
   });
-  const onFree = () => queue.pump();
+  const onFree = () => queue.admitWaiting();
   const runners = new virtualRunners.VirtualRunners({ time, random, onFree });
   const waits: number[] = [];
   let background = 0;
@@ -94,7 +94,7 @@
     const take = (share: number) =>
       runners.take(policy === ReservePolicy.Always ? always(who) : share);
     const outcome = queue.enter(
-      virtualRequest.virtualRequest({ ...who, take }),
+      virtualRequest.virtualRequest({ ...who, takeRunner: take }),
     );
     if (outcome instanceof Promise) void outcome.then(served);
     else served();
--- a/packages/stand_ins/src/measure/measure_return.ts
+++ b/packages/stand_ins/src/measure/measure_return.ts
@@ -47,13 +47,13 @@
   const { clock } = time;
   const limit = () => QUEUE_LIMIT;
   const queue = new serviceQueue.ServiceQueue<true>({ limit, clock });
-  const onFree = () => queue.pump();
+  const onFree = () => queue.admitWaiting();
   const runners = new virtualRunners.VirtualRunners({ time, random, onFree });
   let refusals = 0;
   const arrive = (): void => {
     const { take } = runners;
     const outcome = queue.enter(
-      virtualRequest.virtualRequest({ account: "all", take }),
+      virtualRequest.virtualRequest({ account: "all", takeRunner: take }),
     );
     if (outcome instanceof Promise) {
       void outcome.then(() => runners.serve());
@@ -64,7 +64,7 @@
       return;
     }
     refusals++;
-    const wait = outcome.kind === "full" ? outcome.waitMilliseconds : 0;
+    const wait = outcome.kind === "full" ? outcome.retryAfterMilliseconds : 0;
     time.schedule(clock() + pauseOf(policy, wait, random), arrive);
   };
   for (let caller = 0; caller < CALLERS; caller++) {
--- a/packages/stand_ins/src/measure/measure_routing.ts
+++ b/packages/stand_ins/src/measure/measure_routing.ts
@@ -1,6 +1,6 @@
 import * as common from "@geraniumkeel/common";
 import * as chooseRank from "@geraniumkeel/daemon/routing/choose_rank";
-import * as stepCost from "@geraniumkeel/daemon/routing/step_cost";
+import * as iterationTimeModel from "@geraniumkeel/daemon/routing/iteration_time_model";
 import * as plots from "./plots.ts";
 import * as routingModel from "./routing_model.ts";
 import * as statistics from "./statistics.ts";
@@ -43,7 +43,7 @@
 /** Mean time of one choice among 64 ranks, in microseconds. */
 function timeDecision(): number {
   const random = new common.Random(1);
-  const cost = new stepCost.StepCost();
+  const cost = new iterationTimeModel.IterationTimeModel();
   const candidates = Array.from({ length: DECISION_RANKS }, (_, rank) => ({
     rank,
     work: {
@@ -57,7 +57,7 @@
   }));
   const size = { promptTokens: 200, expectedTokens: 100 };
   const choose = () =>
-    chooseRank.chooseRank({ candidates, cost, size, random });
+    chooseRank.chooseRank({ candidates, timeModel: cost, size, random });
   for (let warm = 0; warm < DECISIONS; warm++) choose();
   const started = performance.now();
   for (let count = 0; count < DECISIONS; count++) choose();
--- a/packages/stand_ins/src/measure/measure_surge.ts
+++ b/packages/stand_ins/src/measure/measure_surge.ts
@@ -2,10 +2,10 @@
 import type * as configuration from "@geraniumkeel/configuration";
 import * as fullRepack from "@geraniumkeel/daemon/placement/full_repack";
 import * as holdBack from "@geraniumkeel/daemon/placement/hold_back";
-import * as hourShape from "@geraniumkeel/daemon/forecast/hour_shape";
+import * as expertLoadForecast from "@geraniumkeel/daemon/forecast/expert_load_forecast";
 import * as placementDecision from "@geraniumkeel/daemon/placement/placement_decision";
 import * as planPlacement from "@geraniumkeel/daemon/placement/plan_placement";
-import * as surgeClock from "@geraniumkeel/daemon/forecast/surge_clock";
+import * as surgeForecast from "@geraniumkeel/daemon/forecast/surge_forecast";
 import * as expertPopularity from "./expert_popularity.ts";
 import * as statistics from "./statistics.ts";
 
@@ -66,8 +66,8 @@
   const random = new common.Random(seed);
   const ordinary = expertPopularity.expertPopularity(SIZE, random);
   const surging = expertPopularity.expertPopularity(SIZE, random);
-  const shape = new hourShape.HourShape();
-  const clock = new surgeClock.SurgeClock();
+  const shape = new expertLoadForecast.ExpertLoadForecast();
+  const clock = new surgeForecast.SurgeForecast();
   let places = fullRepack.fullRepack({
     ranks: RANKS,
     slots: SLOTS,
--- a/packages/stand_ins/src/measure/routing_model.ts
+++ b/packages/stand_ins/src/measure/routing_model.ts
@@ -1,6 +1,6 @@
 import * as common from "@geraniumkeel/common";
 import * as chooseRank from "@geraniumkeel/daemon/routing/choose_rank";
-import * as stepCost from "@geraniumkeel/daemon/routing/step_cost";
+import * as iterationTimeModel from "@geraniumkeel/daemon/routing/iteration_time_model";
 import * as lockStepRank from "./lock_step_rank.ts";
 import * as statistics from "./statistics.ts";
 
@@ -35,7 +35,7 @@
 }
 
 /** What an entry believes of a rank: a report, and its own dispatches since. */
-interface Belief extends stepCost.RankWork {
+interface Belief extends iterationTimeModel.RankWork {
   outstanding: number;
 }
 
@@ -65,7 +65,7 @@
 class RoutingModel {
   readonly #ranks = Array.from({ length: RANKS }, lockStepRank.idleRank);
   readonly #beliefs: Belief[][];
-  readonly #costs: stepCost.StepCost[];
+  readonly #costs: iterationTimeModel.IterationTimeModel[];
   readonly #skews: number[] = [];
   readonly #surgeSkews: number[] = [];
   readonly #steps: number[] = [];
@@ -83,7 +83,9 @@
     this.#beliefs = Array.from({ length: ENTRIES }, () =>
       this.#ranks.map(() => noBelief()),
     );
-    this.#costs = this.#beliefs.map(() => new stepCost.StepCost());
+    this.#costs = this.#beliefs.map(
+      () => new iterationTimeModel.IterationTimeModel(),
+    );
   }
 
   run(): RoutingFigures {
@@ -210,7 +212,12 @@
     const size = { promptTokens: sequence.promptTokens, expectedTokens: 80 };
     const cost = this.#costs[entry];
     const { random } = this;
-    const choice = chooseRank.chooseRank({ candidates, cost, size, random });
+    const choice = chooseRank.chooseRank({
+      candidates,
+      timeModel: cost,
+      size,
+      random,
+    });
     return choice?.index ?? 0;
   }
 
--- a/packages/stand_ins/src/measure/virtual_request.ts
+++ b/packages/stand_ins/src/measure/virtual_request.ts
@@ -5,13 +5,13 @@
 
 /** A request in virtual time: usual, patient, and new unless said otherwise. */
 export function virtualRequest(
-  change: Pick<serviceQueue.Waiting<true>, "account" | "take"> &
-    Partial<serviceQueue.Waiting<true>>,
-): serviceQueue.Waiting<true> {
+  change: Pick<serviceQueue.WaitingRequest<true>, "account" | "takeRunner"> &
+    Partial<serviceQueue.WaitingRequest<true>>,
+): serviceQueue.WaitingRequest<true> {
   return {
     weight: 1,
     cost: COST_TOKENS,
-    urgency: surgeReserve.USUAL_URGENCY,
+    urgency: surgeReserve.DEFAULT_URGENCY,
     deadline: Infinity,
     signal: new AbortController().signal,
     wasAdmitted: false,
--- a/packages/stand_ins/src/system/table_return_test.ts
+++ b/packages/stand_ins/src/system/table_return_test.ts
@@ -83,6 +83,6 @@
 test("a number that was promised to another is outdone", async (t) => {
   const data = new tableData.TableData();
   const one = createLease(data, "a");
-  one.outdo(50_000);
+  one.raiseFencingAbove(50_000);
   t.true((await renewUntilHeld(one)) > 50_000);
 });
