--- a/packages/daemon/src/routing/choose_group.ts
+++ b/packages/daemon/src/routing/choose_group.ts
@@ -1,30 +1,35 @@
 import type * as common from "@geraniumkeel/common";
 import type * as chooseRank from "./choose_rank.ts";
 
-/** A group as a candidate for a request, with the rank it would use there. */
+/** One group that a request may join. */
 export interface GroupCandidate {
-  /** Sequences of the whole group, each held back by a longer step. */
+  /** Sequences in the group; a longer iteration delays each of them. */
   sequences: number;
-  rank: chooseRank.RankChoice;
-  /** One-way distance of the rank in milliseconds. */
+  /** The rank that the request would use in this group. */
+  choice: chooseRank.RankChoice;
+  /** One-way network delay to that rank in milliseconds. */
   distanceMilliseconds: number;
 }
 
 /**
- * Groups within this share of the best count as equal. Entries choose on views
- * as old as a load report; taking the very best sent all of them to one group
- * until the next report, and was worse than any group at random.
+ * A group counts as equal to the best one if its cost is higher by at most this
+ * share. Every entry chooses by load reports that are already somewhat old. If
+ * each took the group with the lowest cost, all entries would choose the same
+ * group until the next report, which is worse than a random choice.
  */
 const NEAR_BEST_SHARE = 0.4;
 
 /**
- * The group whose sequences, the new one included, it delays least per step. A
- * long context then joins a group that a long one slows already, where it costs
- * the others nothing, and the other groups stay fast.
+ * Chooses the group in which the request causes the least delay per iteration,
+ * summed over the sequences of the group and the request itself. A request with
+ * a long context thus joins a group that another long context already slows:
+ * there it delays no other sequence, and the other groups stay fast. Groups
+ * that are nearly as good share the requests at random. Returns the index of
+ * the candidate, or `undefined` if there is none.
  */
 export function chooseGroup(parameters: {
   candidates: GroupCandidate[];
-  /** Steps that the request is expected to take. */
+  /** Iterations that the request is expected to take. */
   iterations: number;
   random: common.Random;
 }): number | undefined {
@@ -35,7 +40,7 @@
   );
   const bestIndex = costs.indexOf(Math.min(...costs));
   const costLimit = (1 + NEAR_BEST_SHARE) * costs[bestIndex];
-  // Sharing is no reason to go farther than the best one is.
+  // Requests are not spread to groups that are farther away than the best one.
   const maxDistanceMilliseconds = candidates[bestIndex].distanceMilliseconds;
   const nearBest = candidates.flatMap(({ distanceMilliseconds }, index) =>
     costs[index] <= costLimit && distanceMilliseconds <= maxDistanceMilliseconds
@@ -45,16 +50,19 @@
   return random.pick(nearBest);
 }
 
-/** Delay of all others per step, and the request's own time per step. */
+/**
+ * Milliseconds per iteration that the request adds to the other sequences, plus
+ * its own iteration time, plus its round trip spread over all its iterations.
+ */
 function costMilliseconds(
   candidate: GroupCandidate,
   iterations: number,
 ): number {
-  const { sequences, rank, distanceMilliseconds } = candidate;
+  const { sequences, choice, distanceMilliseconds } = candidate;
   const ownMilliseconds = Math.max(
-    rank.iterationMilliseconds,
-    rank.rankMilliseconds,
+    choice.iterationMilliseconds,
+    choice.rankMilliseconds,
   );
   const roundTrip = (2 * distanceMilliseconds) / Math.max(1, iterations);
-  return rank.growthMilliseconds * sequences + ownMilliseconds + roundTrip;
+  return choice.growthMilliseconds * sequences + ownMilliseconds + roundTrip;
 }
--- a/packages/daemon/src/routing/choose_group_test.ts
+++ b/packages/daemon/src/routing/choose_group_test.ts
@@ -14,16 +14,16 @@
     0,
     rankMilliseconds - iterationMilliseconds,
   );
-  const rank = {
+  const choice = {
     index: 0,
     iterationMilliseconds,
     growthMilliseconds,
     rankMilliseconds,
   };
-  return { sequences, rank, distanceMilliseconds };
+  return { sequences, choice, distanceMilliseconds };
 }
 
-/** Groups chosen over many calls. */
+/** Set of the indexes that 100 calls return. */
 function chooseRepeatedly(
   candidates: chooseGroup.GroupCandidate[],
 ): Set<unknown> {
@@ -34,25 +34,27 @@
   return new Set(indexes);
 }
 
-test("a long context joins the group that one slows already", (t) => {
+test("a long context joins the group that another one already slows", (t) => {
   const fast = candidate(50, 8, 12);
   const slow = candidate(50, 12, 12);
   t.deepEqual(chooseRepeatedly([fast, slow]), new Set([1]));
 });
 
-// All entries see one group a little better than the others until its next
-// report. Were all to choose it, it would be the worst by then.
-test("groups about as good as the best share the requests", (t) => {
-  const candidates = [8, 9, 10].map((step) => candidate(20, step, step - 1));
+// Until the next load report all entries see the same group as slightly better
+// than the others. If all of them chose it, it would become the worst one.
+test("groups whose cost is near the lowest share the requests", (t) => {
+  const candidates = [8, 9, 10].map((milliseconds) =>
+    candidate(20, milliseconds, milliseconds - 1),
+  );
   t.is(chooseRepeatedly(candidates).size, 3);
 });
 
-test("a far group is not taken just to share, only when it is better", (t) => {
+test("a farther group is chosen for its lower cost, not to share load", (t) => {
   const near = candidate(20, 8, 7);
   t.deepEqual(chooseRepeatedly([near, candidate(20, 8, 7, 30)]), new Set([0]));
   t.deepEqual(chooseRepeatedly([near, candidate(20, 5, 4, 30)]), new Set([1]));
 });
 
-test("without a group there is no choice", (t) => {
+test("without candidates the choice is undefined", (t) => {
   t.deepEqual(chooseRepeatedly([]), new Set([undefined]));
 });
--- a/packages/daemon/src/routing/choose_rank.ts
+++ b/packages/daemon/src/routing/choose_rank.ts
@@ -1,47 +1,54 @@
 import type * as common from "@geraniumkeel/common";
 import type * as iterationTimeModel from "./iteration_time_model.ts";
 
-/** One rank as a candidate for a request. */
+/** One rank of a group that a request may use. */
 export interface RankCandidate {
+  /** Number of the rank in its group. */
   rank: number;
   work: iterationTimeModel.RankWork;
-  /** Whether it may be chosen; others still count for the group's step time. */
+  /** Whether the rank may be chosen; if not, it still slows the group. */
   eligible: boolean;
-  /** Prompt tokens whose KV cache it is believed to hold. */
+  /** Prompt tokens that the rank's KV cache is believed to contain. */
   prefixTokens: number;
-  /** One-way distance in milliseconds. */
+  /** One-way network delay in milliseconds. */
   distanceMilliseconds: number;
 }
 
-/** Sizes of the request to be placed. */
+/** Size of the request, in text tokens. */
 export interface RequestSize {
   promptTokens: number;
+  /** Expected length of the answer; each iteration generates one token. */
   expectedTokens: number;
 }
 
-/** Chosen candidate, with the figures that explain it. */
+/** The chosen rank, with the predictions behind the choice. */
 export interface RankChoice {
+  /** Index of the candidate. */
   index: number;
-  /** The group's step time before the request, in milliseconds. */
+  /** The group's iteration time without the request. */
   iterationMilliseconds: number;
-  /** Growth of the group's step time in milliseconds. */
+  /** By how much the request lengthens the group's iteration. */
   growthMilliseconds: number;
-  /** The rank's step time after the request, in milliseconds. */
+  /** The rank's own iteration time with the request. */
   rankMilliseconds: number;
 }
 
 /**
- * Candidates within this share of the group's step time of the best score count
- * as equal. Many entries choose on nearly the same view: taking the very best
- * sends them all to one rank, taking any of the near-best spreads them.
+ * Candidates count as equal if their score exceeds the lowest one by at most
+ * this share of the group's iteration time. Many entries choose by nearly the
+ * same load reports: if each took the lowest score, all would send to one rank;
+ * a random choice among the near-best ranks spreads the requests.
  */
 const NEAR_BEST_SHARE = 0.01;
-/** Growth of the group's step holds back every rank, so it weighs more. */
+/** Growth of the group's iteration delays every rank, so it weighs more. */
 const GROWTH_WEIGHT = 4;
 
 /**
- * The rank whose gain least raises the group's step time. A step takes as long
- * as the slowest rank; a request that fits under the straggler costs nothing.
+ * Chooses the rank on which the request least lengthens the group's iteration.
+ * An iteration takes as long as its slowest rank, so a request costs the group
+ * nothing on a rank that stays faster than that one. Among such ranks it
+ * prefers fast and near ones. Ranks that are nearly as good share the requests
+ * at random. Returns `undefined` if no candidate is eligible.
  */
 export function chooseRank(parameters: {
   candidates: RankCandidate[];
@@ -92,7 +99,11 @@
   return random.pick(nearBest);
 }
 
-/** The rank's work with the request added, averaged over the request's life. */
+/**
+ * The rank's work with the request added, as an average over the iterations of
+ * the request: on average half of its answer is in the KV cache, and its
+ * uncached prompt tokens are spread over all its iterations.
+ */
 function withRequest(
   candidate: RankCandidate,
   size: RequestSize,
--- a/packages/daemon/src/routing/iteration_time_model.ts
+++ b/packages/daemon/src/routing/iteration_time_model.ts
@@ -1,27 +1,36 @@
-/** What a rank's step time depends on. */
+/** Work of a rank in one iteration, on which its iteration time depends. */
 export interface RankWork {
   sequences: number;
+  /** Tokens of these sequences in the KV cache. */
   cachedTokens: number;
+  /** Prompt tokens still to be prefilled. */
   prefillTokens: number;
 }
 
-/** Number of coefficients: constant, sequence, cached token, prefill token. */
+/** One constant, and one coefficient for each field of `RankWork`. */
 const COEFFICIENT_COUNT = 4;
-/** How fast old observations lose weight; about the last 500 count. */
+/**
+ * Factor by which the weight of an observation falls at each later one; about
+ * the last 500 count.
+ */
 const FORGETTING_FACTOR = 0.998;
-/** Inputs are scaled so that typical values are near 1. */
+/** Factors that scale the inputs so that typical values are near 1. */
 const INPUT_SCALES = [1, 1 / 16, 1 / 8_192, 1 / 1_024];
+/** Variance of each coefficient before the first observation. */
 const INITIAL_VARIANCE = 100;
+/** Weight of the newest observation in a rank's slowdown. */
 const SLOWDOWN_SMOOTHING = 0.05;
+/** Largest slowdown factor of a rank; the smallest is its inverse. */
 const MAX_SLOWDOWN = 8;
 
-/** Starting point before anything was observed, in milliseconds. */
+/** Coefficients before the first observation, in milliseconds. */
 const INITIAL_COEFFICIENTS = [6, 0.8, 0.8, 2];
 
 /**
- * Step time of a rank as a + b·sequences + c·cached tokens + d·prefill tokens,
- * fitted online by recursive least squares over all ranks of a group. What a
- * rank takes beyond that, for hot experts or slow hardware, is its own bias.
+ * Predicts the iteration time of a rank from its work as a + b·sequences +
+ * c·cached tokens + d·prefill tokens. The coefficients are fitted online by
+ * recursive least squares over all ranks of a group. Each rank also has its own
+ * slowdown factor, for popular experts or slow hardware.
  */
 export class IterationTimeModel {
   readonly #coefficients = Float64Array.from(INITIAL_COEFFICIENTS);
@@ -54,17 +63,20 @@
     };
   }
 
-  /** How much slower than the others a rank is at the same work. */
+  /** Factor by which a rank is slower than the fit predicts; 1 if unknown. */
   slowdown(rank: number): number {
     return this.#slowdowns.get(rank) ?? 1;
   }
 
-  /** Predicted step time of a rank in milliseconds. */
+  /** Predicts the iteration time of a rank. */
   predictMilliseconds(rank: number, work: RankWork): number {
     return this.slowdown(rank) * this.#predictWithoutSlowdown(work);
   }
 
-  /** Predicted step time without the rank's bias. */
+  /**
+   * Milliseconds that the fit predicts; never 0, because `observe` divides by
+   * it.
+   */
   #predictWithoutSlowdown(work: RankWork): number {
     const coefficients = this.#coefficients;
     const milliseconds =
@@ -75,7 +87,7 @@
     return Math.max(milliseconds, 0.01);
   }
 
-  /** Takes in an observed step time of a rank. */
+  /** Updates the fit and the rank's slowdown from a measured iteration time. */
   observe(rank: number, work: RankWork, milliseconds: number): void {
     const slowdown = this.slowdown(rank);
     this.#fit(work, milliseconds / slowdown);
@@ -85,7 +97,7 @@
     this.#slowdowns.set(rank, bounded);
   }
 
-  /** One step of recursive least squares with forgetting. */
+  /** Updates the coefficients by recursive least squares with forgetting. */
   #fit(work: RankWork, targetMilliseconds: number): void {
     const input = this.#input;
     const covariance = this.#covariance;
@@ -116,8 +128,8 @@
         const value =
           (covariance[row * COEFFICIENT_COUNT + column] - change) /
           FORGETTING_FACTOR;
-        // Without new information the covariance would grow without bound, and
-        // one odd report would throw the fit far off.
+        // While reports bring no new information, the covariance would grow
+        // without bound, and one outlier would then distort the fit.
         covariance[row * COEFFICIENT_COUNT + column] = Math.min(
           value,
           INITIAL_VARIANCE,
--- a/packages/daemon/src/routing/prefix_index.ts
+++ b/packages/daemon/src/routing/prefix_index.ts
@@ -2,12 +2,15 @@
 import * as engine from "@geraniumkeel/engine";
 import type * as wire from "@geraniumkeel/wire";
 
-/** Blocks remembered per runner; an engine's memory is limited too. */
+/** Blocks remembered per runner; the engine's cache is limited as well. */
 const MAX_BLOCKS_PER_RUNNER = 16_384;
-/** Prefix blocks looked at per request. */
+/** Prefix blocks that are hashed per prompt; the rest is ignored. */
 const MAX_BLOCKS_PER_PROMPT = 256;
 
-/** Chained hashes of a prompt's whole prefix blocks. */
+/**
+ * Hashes the complete prefix blocks of a prompt. Each hash covers its block and
+ * all blocks before, so equal hashes mean equal prefixes.
+ */
 export function hashPrefixBlocks(prompt: string): string[] {
   const blocks: string[] = [];
   let previousHash = "";
@@ -25,13 +28,14 @@
 }
 
 /**
- * Which prefix blocks each runner is believed to hold, from cache events. They
- * come late and with gaps; a wrong belief costs time only, never correctness.
+ * Records which prefix blocks are believed to be in each runner's KV cache, by
+ * the cache events of its engine. These events arrive late and may have gaps. A
+ * wrong record only costs time; the answers stay correct.
  */
 export class PrefixIndex {
   readonly #cachedBlocks = new Map<string, Set<string>>();
 
-  /** Takes in cache events of a runner; a gap voids what was believed. */
+  /** Applies a runner's cache events; a gap clears the runner's record. */
   apply(runner: string, changes: wire.CacheChange[]): void {
     for (const change of changes) {
       if (change.gap) this.#cachedBlocks.delete(runner);
@@ -41,13 +45,16 @@
     }
   }
 
-  /** Notes a prompt just sent, ahead of the engine's late event. */
+  /** Records a prompt that was just sent, before the engine's event arrives. */
   assumeCached(runner: string, blocks: string[]): void {
     const cached = this.#cachedBlocksOf(runner);
     for (const block of blocks) this.#add(cached, block);
   }
 
-  /** Prompt tokens of the longest prefix that the runner should hold. */
+  /**
+   * Estimates the tokens of the longest prefix in the runner's cache, at 4
+   * characters per token.
+   */
   countCachedTokens(runner: string, blocks: string[]): number {
     const cached = this.#cachedBlocks.get(runner);
     if (!cached) return 0;
@@ -56,7 +63,7 @@
     return (count * engine.PREFIX_BLOCK_CHARACTERS) / 4;
   }
 
-  /** Forgets a runner that was replaced or has gone. */
+  /** Drops the record of a runner that was replaced or departed. */
   forget(runner: string): void {
     this.#cachedBlocks.delete(runner);
   }
--- a/packages/daemon/src/routing/router.ts
+++ b/packages/daemon/src/routing/router.ts
@@ -8,45 +8,61 @@
 import * as prefixIndex from "./prefix_index.ts";
 import * as iterationTimeModel from "./iteration_time_model.ts";
 
-/** Time without a step, with work at hand, after which a runner is spared. */
+/** A runner that has work but makes no progress for longer is suspended. */
 const STALL_TIMEOUT_MILLISECONDS = 1_000;
-/** Time in which a spared runner comes back to its full share. */
+/** Time in which a restored runner returns to its full concurrency. */
 const RAMP_UP_MILLISECONDS = 5_000;
-/** One-way distance by class: same place, same region, beyond. */
+/** One-way network delay: same data centre, same region, other region. */
 const DISTANCE_MILLISECONDS = [0, 1.5, 30];
+/** Weight of the newest call in the moving average of a runner's latency. */
 const LATENCY_SMOOTHING = 0.1;
+/** Latency that is assumed of a runner before its first call. */
 const INITIAL_LATENCY_MILLISECONDS = 10;
-/** Choices kept for the state dump. */
+/** Latest choices that the state dump shows. */
 const MAX_EXPLANATIONS = 32;
 
-/** A request looking for a runner. */
+/** What the choice of a runner depends on in a request. */
 export interface RoutingRequest {
   service: string;
-  /** Requests that one runner may hold at once. */
+  /** Requests that one runner may run at once. */
   runnerConcurrency: number;
   size: chooseRank.RequestSize;
+  /** Hashes of the prompt's prefix blocks. */
   prefixBlocks: string[];
-  /** Runners that already refused this request. */
+  /** Names of the runners that already refused this request. */
   excluded: ReadonlySet<string>;
 }
 
 /** Why a runner was chosen, for the state dump. */
 interface Explanation {
   runner: string;
+  /** Number of groups that had an eligible rank. */
   groups: number;
+  /** Milliseconds by which the request lengthens the group's iteration. */
   growth: number;
+  /** Predicted iteration time of the rank with the request, in milliseconds. */
   after: number;
 }
 
-/** Chooses runners for requests. */
+/**
+ * Chooses runners for requests. In services whose runners form groups, it picks
+ * the best rank of each group and then the group that the request delays least.
+ * In plain services, whose runners belong to no group, it compares two random
+ * runners by latency. A runner that stalls gets no new requests until it makes
+ * progress again.
+ */
 export class Router {
+  /** Time models by group. */
   readonly #timeModels = new Map<
     string,
     iterationTimeModel.IterationTimeModel
   >();
   readonly #prefixes = new prefixIndex.PrefixIndex();
+  /** Moving average of the latency of plain calls, by runner. */
   readonly #latencyMilliseconds = new Map<string, number>();
+  /** When each suspended runner was suspended. */
   readonly #suspendedAt = new Map<string, number>();
+  /** When each runner that is ramping up again was restored. */
   readonly #restoredAt = new Map<string, number>();
   readonly #explanations: Explanation[] = [];
 
@@ -59,7 +75,7 @@
     },
   ) {}
 
-  /** Takes in a load report. */
+  /** Updates the group's time model from the runner's latest load report. */
   observeLoad(runner: runnerLink.RunnerLink): void {
     const { load, hello } = runner;
     if (!hello?.group || load.rankMilliseconds <= 0) return;
@@ -70,7 +86,7 @@
     );
   }
 
-  /** Takes in cache events. */
+  /** Applies cache events of the runner's engine. */
   applyCacheEvents(
     runner: runnerLink.RunnerLink,
     changes: wire.CacheChange[],
@@ -78,7 +94,7 @@
     this.#prefixes.apply(runner.host.name, changes);
   }
 
-  /** Takes in the latency of a plain call, in milliseconds. */
+  /** Updates a runner's average latency from one call of a plain service. */
   observeLatency(runner: string, milliseconds: number): void {
     const known =
       this.#latencyMilliseconds.get(runner) ?? INITIAL_LATENCY_MILLISECONDS;
@@ -86,7 +102,7 @@
     this.#latencyMilliseconds.set(runner, next);
   }
 
-  /** Whether any runner of the service could ever take the request. */
+  /** Whether the service has a linked runner that is not leaving. */
   hasAvailableRunner(service: string): boolean {
     return this.parameters.runners
       .ofService(service)
@@ -94,9 +110,10 @@
   }
 
   /**
-   * A runner with room now, or `undefined`. Runners that refused the request are
-   * taken only if there is no other: with few runners, leaving them out for good
-   * would have the request, and all behind it, wait until its deadline.
+   * Chooses a runner that has capacity now; `undefined` if there is none. A
+   * runner that refused the request is chosen only if no other is eligible.
+   * With few runners, excluding it for good would make the request, and all
+   * requests queued behind it, wait until its deadline.
    */
   choose(request: RoutingRequest): runnerLink.RunnerLink | undefined {
     const chosen = this.#chooseNotExcluded(request);
@@ -113,12 +130,13 @@
       const group = runner.hello?.group ?? "";
       groups.set(group, [...(groups.get(group) ?? []), runner]);
     }
+    // Runners of plain services have no group, and so the empty name.
     const plain = groups.get("");
     if (plain && groups.size === 1) return this.#choosePlain(plain, request);
     return this.#chooseAmongGroups(groups, request);
   }
 
-  /** What the state dump says of routing. */
+  /** Routing's part of the state dump. */
   describe(): unknown {
     return {
       costs: Object.fromEntries(
@@ -140,7 +158,10 @@
     return timeModel;
   }
 
-  /** The best rank of each group, then the group that it delays least. */
+  /**
+   * Chooses the best rank of each group, then among these groups the one that
+   * the request delays least.
+   */
   #chooseAmongGroups(
     groups: Map<string, runnerLink.RunnerLink[]>,
     request: RoutingRequest,
@@ -158,15 +179,15 @@
         size,
         random,
       };
-      const rank = chooseRank.chooseRank(parameters);
-      if (!rank) return [];
+      const choice = chooseRank.chooseRank(parameters);
+      if (!choice) return [];
       const sequences = rankCandidates.reduce(
         (sum, { work }) => sum + work.sequences,
         0,
       );
-      const runner = runners[rank.index];
+      const runner = runners[choice.index];
       const distanceMilliseconds = this.#distanceTo(runner);
-      return [{ sequences, rank, runner, distanceMilliseconds }];
+      return [{ sequences, choice, runner, distanceMilliseconds }];
     });
     const index = chooseGroup.chooseGroup({
       candidates,
@@ -174,12 +195,12 @@
       random,
     });
     if (index === undefined) return undefined;
-    const { rank, runner } = candidates[index];
-    this.#explain({
+    const { choice, runner } = candidates[index];
+    this.#recordExplanation({
       runner: runner.host.name,
       groups: candidates.length,
-      growth: rank.growthMilliseconds,
-      after: rank.rankMilliseconds,
+      growth: choice.growthMilliseconds,
+      after: choice.rankMilliseconds,
     });
     this.#prefixes.assumeCached(runner.host.name, request.prefixBlocks);
     return runner;
@@ -215,7 +236,10 @@
     return runner.sequences < Math.max(1, limit);
   }
 
-  /** A runner that does not step although it has work is spared for now. */
+  /**
+   * Suspends a runner of a group that has work but completes no iteration, and
+   * restores it when that changes. Returns whether the runner is suspended.
+   */
   #updateSuspension(runner: runnerLink.RunnerLink): boolean {
     const { name } = runner.host;
     const sinceProgressMilliseconds = common.now() - runner.progressAt;
@@ -237,7 +261,10 @@
     return isStalled;
   }
 
-  /** A runner that comes back gets its share by and by, not at once. */
+  /**
+   * Share of its concurrency that a runner may use. After a suspension it grows
+   * gradually from 0 to 1.
+   */
   #concurrencyShare(name: string): number {
     const restoredAt = this.#restoredAt.get(name);
     if (restoredAt === undefined) return 1;
@@ -246,13 +273,14 @@
     return Math.min(1, share);
   }
 
+  /** One-way network delay to a runner in milliseconds. */
   #distanceTo(runner: runnerLink.RunnerLink): number {
     const { position } = this.parameters;
     const distanceClass = subscription.distanceClass(position, runner.host);
     return DISTANCE_MILLISECONDS[distanceClass];
   }
 
-  /** Of two runners taken at random, the one that should answer sooner. */
+  /** Picks two runners at random and returns the one expected to be faster. */
   #choosePlain(
     runners: runnerLink.RunnerLink[],
     request: RoutingRequest,
@@ -270,6 +298,7 @@
       : second;
   }
 
+  /** Expected time until the runner would answer one more request. */
   #expectedMilliseconds(runner: runnerLink.RunnerLink): number {
     const { name } = runner.host;
     const latency =
@@ -277,7 +306,7 @@
     return (runner.sequences + 1) * latency + 2 * this.#distanceTo(runner);
   }
 
-  #explain(explanation: Explanation): void {
+  #recordExplanation(explanation: Explanation): void {
     this.#explanations.push(explanation);
     if (this.#explanations.length > MAX_EXPLANATIONS) {
       this.#explanations.shift();
--- a/packages/stand_ins/src/measure/groups_model.ts
+++ b/packages/stand_ins/src/measure/groups_model.ts
@@ -127,7 +127,7 @@
       this.#candidate(entry, group, promptTokens),
     );
     const group = this.#chooseGroup(candidates);
-    return { group, rank: candidates[group].rank.index };
+    return { group, rank: candidates[group].choice.index };
   }
 
   #chooseGroup(candidates: chooseGroup.GroupCandidate[]): number {
@@ -136,7 +136,9 @@
       case GroupPolicy.Random:
         return random.below(GROUPS);
       case GroupPolicy.FastestRank: {
-        const after = candidates.map(({ rank }) => rank.rankMilliseconds);
+        const after = candidates.map(
+          ({ choice: rank }) => rank.rankMilliseconds,
+        );
         return after.indexOf(Math.min(...after));
       }
       case GroupPolicy.TwoChoices: {
@@ -177,7 +179,7 @@
     });
     if (!rank) throw new Error("no rank is eligible");
     const sequences = views.reduce((sum, work) => sum + work.sequences, 0);
-    return { sequences, rank, distanceMilliseconds: 0 };
+    return { sequences, choice: rank, distanceMilliseconds: 0 };
   }
 
   #step(group: Group): void {
