--- a/packages/daemon/src/admission/account_flow.ts
+++ b/packages/daemon/src/admission/account_flow.ts
@@ -1,13 +1,20 @@
-/** Place in the line of an account. */
+/** What decides on the order of an account's requests. */
 interface PrioritizedRequest {
   urgency: number;
+  /** Whether the request was admitted before and had to return to the queue. */
   wasAdmitted: boolean;
 }
 
-/** Requests of one account that wait, most urgent first. */
+/**
+ * The waiting requests of one account, most urgent first: a flow in the sense
+ * of start-time fair queueing.
+ */
 export class AccountFlow<T extends PrioritizedRequest> {
   readonly #waiting: T[] = [];
-  /** Virtual time at which the account may next be served. */
+  /**
+   * Start tag of the next request, in virtual time: the queue serves the
+   * account with the lowest one.
+   */
   startTag: number;
 
   constructor(virtualTime: number) {
@@ -19,12 +26,12 @@
     return this.#waiting.length;
   }
 
-  /** The request to be served next. */
+  /** The request that is served next. */
   get head(): T | undefined {
     return this.#waiting[0];
   }
 
-  /** The least urgent request, the newest of several. */
+  /** The least urgent request; the newest one of several. */
   get last(): T | undefined {
     return this.#waiting.at(-1);
   }
@@ -34,14 +41,17 @@
     return this.#waiting;
   }
 
-  /** Adds a request behind those as urgent; one that had its turn before them. */
+  /**
+   * Adds a request behind those of the same urgency, or, if it was admitted
+   * before, in front of those that were not.
+   */
   add(request: T): void {
     let index = this.#waiting.length;
     while (index > 0 && precedes(request, this.#waiting[index - 1])) index--;
     this.#waiting.splice(index, 0, request);
   }
 
-  /** Removes a request; false if it is not here. */
+  /** Removes a request; returns false if the flow does not contain it. */
   remove(request: T): boolean {
     const index = this.#waiting.indexOf(request);
     if (index < 0) return false;
--- a/packages/daemon/src/admission/account_limits.ts
+++ b/packages/daemon/src/admission/account_limits.ts
@@ -6,52 +6,62 @@
 
 /** Time to wait for the owner's answer before the local share is used. */
 const OWNER_TIMEOUT_MILLISECONDS = 250;
-/** Seconds' worth of an account's limit borrowed at a time, over all entries. */
+/**
+ * Credit that all entries together borrow at a time beyond their immediate
+ * need, as seconds of the account's rate.
+ */
 const LOAN_SECONDS = 0.5;
-/** Credit unused for this long goes back to the owner. */
+/** An entry returns credit to the owner that it has not used for this long. */
 const IDLE_CREDIT_MILLISECONDS = 1_000;
 
-/** Outcome of asking for credit. */
+/** Whether a request fits in its account's limit. */
 export type LimitOutcome =
   { kind: "granted" } | { kind: "refused"; retryAfterMilliseconds: number };
 
+/** A request that waits for credit. */
 interface Waiter {
   needed: creditBucket.Credit;
   resolve: (outcome: LimitOutcome) => void;
 }
 
-/** Credit of one account at this entry. */
+/** Credit of one account that this entry has borrowed and not used. */
 interface LocalCredit {
   requests: number;
   tokens: number;
   usedAt: number;
   waiters: Waiter[];
+  /** Whether `#serve` runs for this account. */
   isServing: boolean;
 }
 
 /** What the limits need of the rest of the entry. */
 export interface AccountLimitsParameters {
+  /** Host of this entry. */
   self: string;
-  /** Entries alive, this one included. */
+  /** Hosts of all live entries, this one included. */
   entries: () => string[];
   account: (name: string) => configuration.Account | undefined;
+  /** Factor by which all limits are scaled. */
   limitScale: () => number;
-  /** Sends to another entry; false when it cannot be reached. */
+  /** Sends to another entry; false if that entry cannot be reached. */
   send: (host: string, message: wire.Message) => Promise<boolean>;
 }
 
 /**
- * Limits of client accounts over all entries together, without a write per
- * request. Each account has an owner among the live entries, which holds its
- * bucket and lends credit to the others in portions. When the owner cannot be
- * reached, an entry gives out its own share, one part in the number of entries:
- * the sum stays within the limit.
+ * Enforces the limits of client accounts over all entries together, without a
+ * write per request. One of the live entries owns the account's token bucket
+ * and lends credit to the other entries in portions. If an entry cannot reach
+ * the owner, it grants requests from its own share of the limit: the limit
+ * divided by the number of entries, so that the sum of all shares stays within
+ * the limit.
  */
 export class AccountLimits {
   readonly #localCredits = new Map<string, LocalCredit>();
+  /** Buckets of the accounts that this entry owns. */
   readonly #ownedBuckets: bucketRegistry.BucketRegistry;
-  /** Buckets with this entry's own share, for when the owner is unreachable. */
+  /** Buckets with this entry's share, used while the owner is unreachable. */
   readonly #fallbackBuckets: bucketRegistry.BucketRegistry;
+  /** Callbacks that wait for the owner's answer, by account. */
   readonly #grantCallbacks = new Map<
     string,
     (
@@ -71,7 +81,7 @@
     });
   }
 
-  /** Takes one request and its tokens from the account's limit. */
+  /** Charges one request and its estimated tokens to the account's limit. */
   reserve(account: string, tokens: number): Promise<LimitOutcome> {
     const local = this.#localCreditOf(account);
     local.usedAt = common.now();
@@ -81,19 +91,22 @@
     });
   }
 
-  /** Corrects what was reserved by what was used; may leave a debt. */
+  /**
+   * Replaces the tokens reserved for a request by those that it used. The
+   * credit may become negative.
+   */
   reconcile(account: string, reservedTokens: number, usedTokens: number): void {
     this.#localCreditOf(account).tokens += reservedTokens - usedTokens;
   }
 
-  /** Gives the reservation of a request back that did not run. */
+  /** Returns the reservation of a request that did not run. */
   refund(account: string, tokens: number): void {
     const local = this.#localCreditOf(account);
     local.requests += 1;
     local.tokens += tokens;
   }
 
-  /** Handles credit messages of other entries. */
+  /** Handles credit messages of other entries; ignores all other messages. */
   handle(host: string, message: wire.Message): void {
     switch (message.kind) {
       case wire.MessageKind.CreditRequest:
@@ -110,7 +123,10 @@
     }
   }
 
-  /** Returns idle credit and forgets idle buckets; call about every second. */
+  /**
+   * Returns unused credit to the owners and drops unused buckets. To be called
+   * about every second.
+   */
   sweep(): void {
     const now = common.now();
     for (const [account, local] of this.#localCredits) {
@@ -123,7 +139,7 @@
     this.#fallbackBuckets.sweep();
   }
 
-  /** What the state dump says of limits. */
+  /** The limits' part of the state dump. */
   describe(): unknown {
     return {
       owned: this.#ownedBuckets.size,
@@ -139,18 +155,21 @@
   #localCreditOf(account: string): LocalCredit {
     const known = this.#localCredits.get(account);
     if (known) return known;
-    const fresh: LocalCredit = {
+    const created: LocalCredit = {
       requests: 0,
       tokens: 0,
       usedAt: common.now(),
       waiters: [],
       isServing: false,
     };
-    this.#localCredits.set(account, fresh);
-    return fresh;
+    this.#localCredits.set(account, created);
+    return created;
   }
 
-  /** Serves waiters in order, asking the owner whenever credit runs out. */
+  /**
+   * Grants or refuses the waiting requests in order and borrows credit whenever
+   * it runs out.
+   */
   async #serve(account: string, local: LocalCredit): Promise<void> {
     local.isServing = true;
     while (local.waiters.length > 0) {
@@ -164,7 +183,8 @@
       }
       const waitMilliseconds = await this.#borrow(account, local);
       if (waitMilliseconds === undefined) continue;
-      // Nothing more can be had now: all who wait are told when to come back.
+      // No more credit is available now: what remains covers some requests, and
+      // the others are refused with the time after which to retry.
       for (const remaining of local.waiters.splice(0)) {
         if (covers(local, remaining.needed)) {
           local.requests -= remaining.needed.requests;
@@ -179,7 +199,10 @@
     local.isServing = false;
   }
 
-  /** Adds credit; returns the wait in milliseconds if none could be had. */
+  /**
+   * Borrows credit for the waiting requests. If none is available, returns the
+   * milliseconds to wait; 0 if the account is unknown.
+   */
   async #borrow(
     account: string,
     local: LocalCredit,
@@ -205,6 +228,10 @@
     return undefined;
   }
 
+  /**
+   * Takes credit from the owner's bucket, or from this entry's share if the
+   * owner does not answer in time.
+   */
   async #obtainCredit(
     account: string,
     needed: creditBucket.Credit,
@@ -226,6 +253,7 @@
     return { granted: grant };
   }
 
+  /** Asks the owner for credit; `undefined` if it does not answer in time. */
   async #requestFromOwner(
     owner: string,
     account: string,
@@ -252,7 +280,7 @@
     return grant;
   }
 
-  /** Lends to another entry out of a bucket owned here. */
+  /** Lends credit to another entry from a bucket that this entry owns. */
   #lend(
     host: string,
     request: Extract<wire.Message, { kind: wire.MessageKind.CreditRequest }>,
@@ -284,11 +312,13 @@
     void this.parameters.send(owner, { kind, account, requests, tokens });
   }
 
+  /** The entry that owns the account's bucket. */
   #ownerOf(account: string): string {
     const entries = this.parameters.entries();
     return common.rendezvous(account, entries) ?? this.parameters.self;
   }
 
+  /** Rate of an account over all entries; `undefined` if it is unknown. */
   #rateOf(account: string): creditBucket.CreditRate | undefined {
     const configured = this.parameters.account(account);
     if (!configured) return undefined;
@@ -307,7 +337,7 @@
 
 function sum(credits: creditBucket.Credit[]): creditBucket.Credit {
   return {
-    requests: credits.reduce((total, one) => total + one.requests, 0),
-    tokens: credits.reduce((total, one) => total + one.tokens, 0),
+    requests: credits.reduce((total, credit) => total + credit.requests, 0),
+    tokens: credits.reduce((total, credit) => total + credit.tokens, 0),
   };
 }
--- a/packages/daemon/src/admission/bucket_registry.ts
+++ b/packages/daemon/src/admission/bucket_registry.ts
@@ -1,9 +1,9 @@
 import * as common from "@geraniumkeel/common";
 import * as creditBucket from "./credit_bucket.ts";
 
-/** Buckets unused for this long are forgotten. */
+/** Buckets that were not used for this long are dropped. */
 const MAX_IDLE_MILLISECONDS = 300_000;
-/** Rate of an account that was removed while its bucket was in use. */
+/** Rate of a bucket whose account was removed from the configuration. */
 const REMOVED_ACCOUNT_RATE = { requests: 1, tokens: 1, burstSeconds: 1 };
 
 interface TrackedBucket {
@@ -11,25 +11,28 @@
   usedAt: number;
 }
 
-/** Buckets of accounts, made when first used and forgotten when long unused. */
+/**
+ * Token buckets by account. The registry creates a bucket at its first use and
+ * drops it when it was not used for long.
+ */
 export class BucketRegistry {
   readonly #buckets = new Map<string, TrackedBucket>();
 
   constructor(
     readonly parameters: {
-      /** Whole rate of an account; `undefined` if there is none. */
+      /** Full rate of an account; `undefined` if there is no such account. */
       rateOf: (account: string) => creditBucket.CreditRate | undefined;
-      /** Part of the rate that these buckets give out. */
+      /** Share of the full rate that these buckets grant, from 0 to 1. */
       share: () => number;
     },
   ) {}
 
-  /** Buckets held. */
+  /** Number of buckets. */
   get size(): number {
     return this.#buckets.size;
   }
 
-  /** Bucket of an account; `undefined` if there is no such account. */
+  /** The account's bucket; `undefined` if there is no such account. */
   bucketOf(account: string): creditBucket.CreditBucket | undefined {
     const tracked = this.#buckets.get(account);
     if (tracked) {
@@ -44,7 +47,7 @@
     return bucket;
   }
 
-  /** Forgets buckets that were not used for long. */
+  /** Drops the buckets that were not used for long. */
   sweep(): void {
     const oldestUse = common.now() - MAX_IDLE_MILLISECONDS;
     for (const [account, { usedAt }] of this.#buckets) {
--- a/packages/daemon/src/admission/credit_bucket.ts
+++ b/packages/daemon/src/admission/credit_bucket.ts
@@ -1,23 +1,24 @@
 import * as common from "@geraniumkeel/common";
 
-/** Amounts of the two things an account's limit counts. */
+/** Requests and text tokens that an account may use. */
 export interface Credit {
   requests: number;
   tokens: number;
 }
 
-/** Rates of an account over all entries together. */
+/** Rate at which an account gains credit, per second. */
 export interface CreditRate extends Credit {
+  /** Seconds of this rate that a bucket can save up. */
   burstSeconds: number;
 }
 
-/** Seconds' worth that a new owner starts with. */
+/** Seconds of the rate that a new bucket starts with. */
 const INITIAL_CREDIT_SECONDS = 1;
 
 /**
- * The global token bucket of one account, held by its owner entry. A new owner
- * starts with one second's worth and not a full burst, so that owners that come
- * and go do not each hand out a burst.
+ * Token bucket of one account, for requests and text tokens. A new bucket
+ * starts with one second's credit instead of a full burst: otherwise each entry
+ * that becomes the account's owner would grant another burst.
  */
 export class CreditBucket {
   #requests: number;
@@ -30,21 +31,21 @@
   ) {
     const { requests, tokens, burstSeconds } = rate();
     const seconds = Math.min(INITIAL_CREDIT_SECONDS, burstSeconds);
-    // A slow account must still be able to send its first request at once.
+    // An account with a low rate can still send its first request at once.
     this.#requests = Math.max(1, requests * seconds);
     this.#tokens = tokens * seconds;
     this.#refilledAt = clock();
   }
 
-  /** Credit at hand. */
+  /** Credit that can be taken now. */
   get available(): Credit {
     this.#refill();
     return { requests: this.#requests, tokens: this.#tokens };
   }
 
   /**
-   * Takes `wanted` if there is enough for `needed`, as much of it as there is.
-   * Else takes nothing and returns the wait until `needed` will be there.
+   * If the bucket covers `needed`, takes up to `wanted`. Otherwise takes
+   * nothing and returns the milliseconds until the bucket will cover `needed`.
    */
   take(
     needed: Credit,
@@ -52,7 +53,8 @@
   ): { granted: Credit } | { waitMilliseconds: number } {
     this.#refill();
     const rate = this.rate();
-    // An answer larger than the whole burst could never be paid in advance.
+    // The bucket never contains more than a burst: a request for more tokens is
+    // granted from a full bucket, which then becomes negative.
     const burstTokens = rate.tokens * rate.burstSeconds;
     const tokensNeeded = Math.min(needed.tokens, burstTokens);
     const missingRequests = needed.requests - this.#requests;
@@ -73,13 +75,17 @@
     return { granted };
   }
 
-  /** Takes back credit that was lent and not used; may be negative. */
+  /**
+   * Adds credit that an entry borrowed and did not use. The amounts are
+   * negative if that entry used more than it borrowed.
+   */
   returnCredit(credit: Credit): void {
     this.#requests += credit.requests;
     this.#tokens += credit.tokens;
     this.#refill();
   }
 
+  /** Adds the credit gained since the last call, up to a burst. */
   #refill(): void {
     const rate = this.rate();
     const now = this.clock();
--- a/packages/daemon/src/admission/rate_window.ts
+++ b/packages/daemon/src/admission/rate_window.ts
@@ -1,4 +1,8 @@
-/** Counts events over about the last two seconds, in constant memory. */
+/**
+ * Measures the rate of events over a sliding window in constant memory. It
+ * counts the events of the current and of the previous window; the previous one
+ * counts by the part of it that the sliding window still covers.
+ */
 export class RateWindow {
   #currentCount = 0;
   #previousCount = 0;
@@ -17,7 +21,7 @@
     this.#currentCount++;
   }
 
-  /** Events per millisecond. */
+  /** Events per millisecond; 0 if neither window has any. */
   get perMillisecond(): number {
     this.#advance();
     const elapsed = this.clock() - this.#startedAt;
@@ -27,6 +31,7 @@
     return weightedCount / this.windowMilliseconds;
   }
 
+  /** Begins a new window if the current one is over. */
   #advance(): void {
     const elapsed = this.clock() - this.#startedAt;
     if (elapsed < this.windowMilliseconds) return;
--- a/packages/daemon/src/admission/service_queue.ts
+++ b/packages/daemon/src/admission/service_queue.ts
@@ -4,93 +4,115 @@
 import * as retryPacing from "./retry_pacing.ts";
 import * as surgeReserve from "./surge_reserve.ts";
 
-/** A request waiting for a runner. */
+/** A request that asks for a runner. */
 export interface WaitingRequest<R> {
   account: string;
-  /** Share of service of the account. */
+  /** Weight of the account in fair queueing. */
   weight: number;
-  /** Cost in tokens. */
+  /** Cost of the request in text tokens. */
   cost: number;
-  /** 0 is most urgent, 7 least. */
+  /** From 0, the most urgent, to 7 (RFC 9218). */
   urgency: number;
-  /** Deadline by this process's clock. */
+  /** Deadline in milliseconds by this process's clock. */
   deadline: number;
+  /** Aborted when the caller disconnects. */
   signal: AbortSignal;
-  /** It had its turn before, and comes back for no fault of its own. */
+  /**
+   * Whether the queue admitted the request before, and it returned for a reason
+   * that is not its own, such as a full runner.
+   */
   wasAdmitted: boolean;
-  /** Takes a runner that has room in this part of its whole room. */
+  /**
+   * Reserves a runner that has room within this share of its capacity, from 0
+   * to 1; returns `undefined` if there is none.
+   */
   takeRunner: (capacityShare: number) => R | undefined;
 }
 
-/** What became of a request that asked for a runner. */
+/** Result of asking for a runner. */
 export type QueueOutcome<R> =
   | { kind: "admitted"; runner: R; waitedMilliseconds: number }
-  /** No room; `waitMilliseconds` is when to come back. */
+  /** The queue is full; the caller should retry after this time. */
   | { kind: "full"; retryAfterMilliseconds: number }
-  /** It would miss its deadline; `waitMilliseconds` is when to come back. */
+  /** The deadline is too near; the caller should retry after this time. */
   | { kind: "too-late"; retryAfterMilliseconds: number }
   | { kind: "caller-gone" };
 
+/** A request in the queue. */
 interface QueuedRequest<R> extends WaitingRequest<R> {
   queuedAt: number;
   finish: (outcome: QueueOutcome<R>) => void;
 }
 
+/** Window over which the rate of admissions is measured. */
 const RATE_WINDOW_MILLISECONDS = 2_000;
-/** Accounts whose next request is tried when the first finds no runner. */
+/** Accounts that the queue tries without finding a runner before it stops. */
 const MAX_SKIPPED_ACCOUNTS = 4;
 
 /**
- * Requests of one service waiting at one entry, served by start-time fair
- * queueing over accounts: a large account queues behind its own requests, and
- * not the small ones behind it. Within an account, urgent ones go first. Less
- * urgent ones leave room where a surge is expected, and their places in a full
- * queue to others.
+ * Queue of one service's requests at one entry. Start-time fair queueing shares
+ * the runners among the accounts: an account with many requests waits behind
+ * its own requests and does not delay the small accounts. Within an account,
+ * more urgent requests go first. Requests of less than the default urgency may
+ * use only a part of each runner's capacity while a surge is expected, and a
+ * full queue refuses them in favour of more urgent ones.
  */
 export class ServiceQueue<R> {
+  /** Waiting requests by account. */
   readonly #flows = new Map<
     string,
     accountFlow.AccountFlow<QueuedRequest<R>>
   >();
-  readonly #admissions: rateWindow.RateWindow;
+  readonly #admissionRate: rateWindow.RateWindow;
   readonly #now: () => number;
   readonly #retryPacing: retryPacing.RetryPacing;
+  /** Highest start tag that has been served. */
   #virtualTime = 0;
   #length = 0;
-  /** Of those waiting, how many are less urgent than usual. */
+  /** Number of waiting requests of less than the default urgency. */
   #lessUrgentCount = 0;
 
   constructor(
     readonly parameters: {
+      /** Requests that may wait at once. */
       limit: () => number;
       clock?: () => number;
-      /** Called when a request begins to wait. */
+      /** Called when a request starts to wait. */
       onWaiting?: () => void;
-      /** What is kept free of less urgent requests; nothing if left out. */
+      /** Capacity that less urgent requests leave free; none if omitted. */
       reserve?: surgeReserve.SurgeReserve;
     },
   ) {
     this.#now = parameters.clock ?? common.now;
     this.#retryPacing = new retryPacing.RetryPacing(this.#now);
-    this.#admissions = new rateWindow.RateWindow(
+    this.#admissionRate = new rateWindow.RateWindow(
       RATE_WINDOW_MILLISECONDS,
       this.#now,
     );
   }
 
-  /** Requests waiting. */
+  /** Number of requests waiting. */
   get length(): number {
     return this.#length;
   }
 
-  /** Estimated wait of a request that comes now, in milliseconds. */
+  /**
+   * Milliseconds until all requests that wait now will have been admitted; 0 if
+   * none was admitted recently.
+   */
   get estimatedWait(): number {
     if (this.#length === 0) return 0;
-    const rate = this.#admissions.perMillisecond;
-    return rate > 0 ? this.#length / rate : 0;
+    const requestsPerMillisecond = this.#admissionRate.perMillisecond;
+    return requestsPerMillisecond > 0
+      ? this.#length / requestsPerMillisecond
+      : 0;
   }
 
-  /** Waits for a runner, or refuses at once what cannot be served in time. */
+  /**
+   * Admits a request at once if it finds a runner, and otherwise queues it. If
+   * the queue is full, or the request would miss its deadline, it is refused at
+   * once.
+   */
   enter(
     request: WaitingRequest<R>,
   ): Promise<QueueOutcome<R>> | QueueOutcome<R> {
@@ -118,7 +140,10 @@
     return new Promise((resolve) => this.#insert(request, resolve));
   }
 
-  /** Admits as many as find a runner; refuses those past their deadline. */
+  /**
+   * Refuses the waiting requests whose deadline has passed and admits as many
+   * of the others as find a runner.
+   */
   admitWaiting(): void {
     if (this.#length === 0) return;
     this.#dropExpired();
@@ -129,8 +154,9 @@
     return this.#length >= this.parameters.limit();
   }
 
+  /** Milliseconds after which the next refused caller should retry. */
   #nextRetryDelay(queueMilliseconds: number): number {
-    const requestsPerMillisecond = this.#admissions.perMillisecond;
+    const requestsPerMillisecond = this.#admissionRate.perMillisecond;
     return this.#retryPacing.nextDelayMilliseconds({
       queueMilliseconds,
       requestsPerMillisecond,
@@ -138,8 +164,8 @@
   }
 
   /**
-   * Under fair queueing an account waits for its own requests, and for as many
-   * of each other account that has any waiting.
+   * Milliseconds that a new request would wait. Under fair queueing it waits
+   * for the requests of its own account, and for as many of each other account.
    */
   #expectedWait(request: WaitingRequest<R>): number {
     const ownCount = this.#flows.get(request.account)?.length ?? 0;
@@ -147,11 +173,16 @@
     for (const flow of this.#flows.values()) {
       requestsAhead += Math.min(flow.length, ownCount + 1);
     }
-    const rate = this.#admissions.perMillisecond;
-    return rate > 0 ? requestsAhead / rate : 0;
+    const requestsPerMillisecond = this.#admissionRate.perMillisecond;
+    return requestsPerMillisecond > 0
+      ? requestsAhead / requestsPerMillisecond
+      : 0;
   }
 
-  /** Whether nobody waits who would have to be served first. */
+  /**
+   * Whether a new request may ask for a runner before those that wait: none
+   * waits, or a surge is expected and all that wait are less urgent.
+   */
   #maySkipQueue({ urgency }: WaitingRequest<R>): boolean {
     if (this.#length === 0) return true;
     const onlyLessUrgent = this.#lessUrgentCount === this.#length;
@@ -164,8 +195,9 @@
   }
 
   /**
-   * Makes place in a full queue by refusing one that nobody waits for: the last
-   * of the account that has most waiting. False if there is none.
+   * Makes room in a full queue by refusing a less urgent request: the last one
+   * of the longest flow that ends in such a request. Returns false if there is
+   * none, or if the new request is itself less urgent.
    */
   #makeRoomFor({ urgency }: WaitingRequest<R>): boolean {
     if (this.#lessUrgentCount === 0 || isLessUrgent(urgency)) return false;
@@ -176,14 +208,15 @@
     if (!evicted) return false;
     this.#remove(longestFlow, evicted);
     const retryAfterMilliseconds = this.#nextRetryDelay(this.estimatedWait);
-    evicted.finish({
-      kind: "full",
-      retryAfterMilliseconds,
-    });
+    evicted.finish({ kind: "full", retryAfterMilliseconds });
     return true;
   }
 
-  /** Serves the account whose turn it is, or one of the next ones. */
+  /**
+   * Admits the first request of the account with the lowest start tag. If it
+   * finds no runner, tries the accounts after it. Returns whether a request was
+   * admitted.
+   */
   #admitNext(): boolean {
     const flows = [...this.#flows.values()]
       .filter((flow) => flow.length > 0)
@@ -198,7 +231,8 @@
       if (capacityShare < 1 && isReducedCapacityFull) continue;
       const runner = request.takeRunner(capacityShare);
       if (runner === undefined) {
-        // Those who may use a part only do not use up the looks of others.
+        // A request that may use only a part of the capacity does not count as
+        // skipped: many of them must not hide one that may use all of it.
         if (capacityShare < 1) isReducedCapacityFull = true;
         else skippedAccounts++;
         continue;
@@ -213,7 +247,7 @@
   }
 
   #admit(runner: R, waitedMilliseconds: number): QueueOutcome<R> {
-    this.#admissions.count();
+    this.#admissionRate.count();
     return { kind: "admitted", runner, waitedMilliseconds };
   }
 
@@ -226,7 +260,7 @@
       this.#flows.get(account) ??
       new accountFlow.AccountFlow(this.#virtualTime);
     this.#flows.set(account, flow);
-    // An account that was away does not save up turns.
+    // While it has no requests waiting, an account does not save up service.
     if (flow.length === 0)
       flow.startTag = Math.max(flow.startTag, this.#virtualTime);
     const onCallerGone = () => {
@@ -257,6 +291,10 @@
     return true;
   }
 
+  /**
+   * Refuses the requests whose deadline has passed and drops the flows that are
+   * empty and whose start tag is not ahead of the virtual time.
+   */
   #dropExpired(): void {
     const now = this.#now();
     for (const [account, flow] of this.#flows) {
@@ -266,10 +304,7 @@
       for (const request of expired) {
         this.#remove(flow, request);
         const retryAfterMilliseconds = now - request.queuedAt;
-        request.finish({
-          kind: "too-late",
-          retryAfterMilliseconds,
-        });
+        request.finish({ kind: "too-late", retryAfterMilliseconds });
       }
       const isIdle = flow.length === 0 && flow.startTag <= this.#virtualTime;
       if (isIdle) this.#flows.delete(account);
@@ -281,7 +316,11 @@
   return urgency > surgeReserve.DEFAULT_URGENCY;
 }
 
-/** How far a request moves its account back; once, if it comes back itself. */
+/**
+ * Virtual time by which a request advances its account's start tag. A request
+ * that was admitted before is not charged again. Every two levels of lower
+ * urgency double the cost.
+ */
 function virtualCost(request: WaitingRequest<unknown>): number {
   if (request.wasAdmitted) return 0;
   const relativeUrgency = request.urgency - surgeReserve.DEFAULT_URGENCY;
--- a/packages/daemon/src/admission/service_queue_test.ts
+++ b/packages/daemon/src/admission/service_queue_test.ts
@@ -10,13 +10,13 @@
 
 interface Fixture {
   queue: serviceQueue.ServiceQueue<true>;
-  /** Enters a request; its outcome's kind is noted under its name. */
+  /** Enters a request and stores its outcome's kind under its name. */
   enter: (
     name: string,
     change?: Partial<serviceQueue.WaitingRequest<true>>,
   ) => void;
   outcomes: Map<string, string>;
-  /** Frees places at runners and admits who waits. */
+  /** Completes this many running requests and admits waiting ones. */
   releaseCapacity: (requests: number) => Promise<void>;
 }
 
@@ -64,7 +64,7 @@
   };
 }
 
-/** A reserve of a half that expects a surge. */
+/** A reserve of half the capacity that expects a surge. */
 function reserveDuringSurge(): surgeReserve.SurgeReserve {
   let wallMilliseconds = 0;
   const share = () => 0.5;
@@ -77,33 +77,33 @@
   return reserve;
 }
 
-// A report job has filled all runners but the part that is kept for the surge,
-// and more of it waits. A counter's request comes: it must not wait behind it.
-test("a usual request passes those that leave room for the surge", (t) => {
+// A batch job has filled all capacity but the reserve for the surge, and more
+// of its requests wait. An interactive request must not wait behind them.
+test("the surge reserve lets a request of default urgency go first", (t) => {
   const { enter, outcomes, queue } = fixture({ surge: true });
   for (const name of ["a", "b", "c", "d"]) {
-    enter(name, { account: "reports", urgency: LOW_URGENCY });
+    enter(name, { account: "batch", urgency: LOW_URGENCY });
   }
   t.is(queue.length, 2);
-  enter("counter", { account: "counters" });
-  t.is(outcomes.get("counter"), "admitted");
+  enter("interactive", { account: "interactive" });
+  t.is(outcomes.get("interactive"), "admitted");
   t.is(queue.length, 2);
 });
 
-test("many accounts that leave room do not hide one that need not", async (t) => {
+test("many less urgent accounts do not hide one of default urgency", async (t) => {
   const { enter, outcomes, releaseCapacity } = fixture({ surge: true });
   for (const name of ["1", "2", "3", "4"]) enter(name);
   for (let account = 0; account < 8; account++) {
     const urgency = LOW_URGENCY;
-    enter(`report ${account}`, { account: `reports-${account}`, urgency });
+    enter(`batch ${account}`, { account: `batch-${account}`, urgency });
   }
-  enter("counter", { account: "counters" });
-  t.is(outcomes.get("counter"), undefined);
+  enter("interactive", { account: "interactive" });
+  t.is(outcomes.get("interactive"), undefined);
   await releaseCapacity(1);
-  t.is(outcomes.get("counter"), "admitted");
+  t.is(outcomes.get("interactive"), "admitted");
 });
 
-test("without a surge less urgent requests have all room", (t) => {
+test("without a surge less urgent requests may use all capacity", (t) => {
   const { enter, queue } = fixture();
   for (const name of ["a", "b", "c", "d"]) {
     enter(name, { urgency: LOW_URGENCY });
@@ -111,26 +111,26 @@
   t.is(queue.length, 0);
 });
 
-// The queue is full of a report job's requests. A counter's request comes: the
-// last of the job is refused at once, as not run, and the counter's waits.
-test("a full queue gives the place of a less urgent request away", async (t) => {
+// The queue is full of a batch job's requests. When an interactive request
+// arrives, the job's last request is refused and the interactive one waits.
+test("a full queue refuses a less urgent request for a more urgent one", async (t) => {
   const { enter, outcomes, queue } = fixture({ limit: 2 });
   for (const name of ["1", "2", "3", "4"]) enter(name);
   enter("first", { urgency: LOW_URGENCY });
   enter("last", { urgency: LOW_URGENCY });
   enter("third", { urgency: LOW_URGENCY });
   t.is(outcomes.get("third"), "full");
-  enter("counter", { account: "counters" });
+  enter("interactive", { account: "interactive" });
   await Promise.resolve();
   t.is(outcomes.get("last"), "full");
   t.is(outcomes.get("first"), undefined);
   t.is(queue.length, 2);
-  enter("second counter", { account: "counters" });
-  enter("third counter", { account: "counters" });
-  t.is(outcomes.get("third counter"), "full");
+  enter("second interactive", { account: "interactive" });
+  enter("third interactive", { account: "interactive" });
+  t.is(outcomes.get("third interactive"), "full");
 });
 
-test("a large account waits behind its own requests", async (t) => {
+test("a small account does not wait behind all requests of a large one", async (t) => {
   const { enter, outcomes, releaseCapacity } = fixture();
   for (const name of ["1", "2", "3", "4"]) enter(name, { account: "large" });
   for (let count = 0; count < 10; count++) {
@@ -141,9 +141,9 @@
   t.is(outcomes.get("small"), "admitted");
 });
 
-// A request was admitted, and its runner turned out to be full. It goes first
-// among its account's, and does not cost the account a second turn.
-test("a request that comes back goes first and is not charged again", async (t) => {
+// A request was admitted, but its runner was full. It goes before the other
+// requests of its account, and its account is not charged a second time.
+test("a request that returns goes first and is not charged again", async (t) => {
   const { enter, outcomes, releaseCapacity } = fixture();
   for (const name of ["1", "2", "3", "4"]) enter(name);
   enter("next");
--- a/packages/daemon/src/admission/surge_reserve.ts
+++ b/packages/daemon/src/admission/surge_reserve.ts
@@ -1,34 +1,40 @@
 import * as surgeForecast from "../forecast/surge_forecast.ts";
 
-/** Urgency of a request whose caller says nothing (RFC 9218). */
+/** Urgency of a request whose caller does not set one (RFC 9218). */
 export const DEFAULT_URGENCY = 3;
-/** Time before a surge from which room is kept: long answers last about so. */
+/**
+ * Time before a surge from which capacity is reserved: long answers run for
+ * about this time.
+ */
 const LEAD_MILLISECONDS = 60_000;
-/** Requests a second that one entry takes in its stride at any time. */
+/** An entry serves this rate easily at any time, so it is never a surge. */
 const MIN_SURGE_REQUESTS_PER_SECOND = 2;
 
 /**
- * Keeps room for a surge that the clock brings. Answers that nobody waits for
- * fill the runners in quiet minutes and run on into the hour, when callers who
- * wait find no room and queue behind them. So shortly before a learned surge,
- * and in it, less urgent requests get only a part of each runner's room.
+ * Reserves capacity for surges that recur at the same minutes of each hour.
+ * Otherwise requests without a waiting caller, such as batch jobs, would fill
+ * the runners in quiet minutes and still run when the surge begins; callers who
+ * wait for their answers would then find no capacity and queue behind them. So
+ * shortly before and during an expected surge, requests of less than the
+ * default urgency may use only a part of each runner's capacity.
  */
 export class SurgeReserve {
   readonly #forecast = new surgeForecast.SurgeForecast(
     MIN_SURGE_REQUESTS_PER_SECOND,
   );
   readonly #wallClock: () => number;
-  /** Start of the part of the hour that is being counted. */
+  /** Wall-clock start of the interval whose requests are being counted. */
   #startedAt: number;
   #requestCount = 0;
   #expected = false;
 
   constructor(
     readonly parameters: {
-      /** Part of each runner's room that is kept, from 0 to 1. */
+      /** Share of each runner's capacity that is reserved, from 0 to 1. */
       share: () => number;
+      /** Wall-clock time in milliseconds; `Date.now` if omitted. */
       wallClock?: () => number;
-      /** Told when a surge begins or ceases to be expected. */
+      /** Called when a surge becomes expected, and when it no longer is. */
       onChange?: (expected: boolean) => void;
     },
   ) {
@@ -36,36 +42,43 @@
     this.#startedAt = intervalStart(this.#wallClock());
   }
 
-  /** Whether a surge is on or near. */
+  /** Whether a surge is expected now or soon. */
   get expected(): boolean {
     this.#advance();
     return this.#expected;
   }
 
-  /** Counts a request that arrives; those that can wait make no surge. */
+  /**
+   * Counts a request that arrives. Less urgent requests are ignored: they would
+   * have capacity reserved against themselves.
+   */
   count(urgency: number): void {
     this.#advance();
     if (urgency <= DEFAULT_URGENCY) this.#requestCount++;
   }
 
-  /** Part of each runner's room that a request may use. */
+  /** Share of each runner's capacity that a request may use, from 0 to 1. */
   capacityShare(urgency: number): number {
     if (urgency <= DEFAULT_URGENCY || !this.expected) return 1;
     return 1 - this.parameters.share();
   }
 
-  /** Learns from parts of the hour that are over; quiet ones count as such. */
+  /**
+   * Once the current interval is over, adds its count to the forecast, adds 0
+   * for each interval since then, and asks whether a surge is expected.
+   */
   #advance(): void {
     const currentStart = intervalStart(this.#wallClock());
     if (currentStart === this.#startedAt) return;
-    const elapsed =
+    const intervalCount =
       (currentStart - this.#startedAt) / surgeForecast.INTERVAL_MILLISECONDS;
-    // After a pause, or a step of the clock, one round of the hour says it all.
+    // After a pause of the process or a jump of the clock, one hour of empty
+    // intervals is enough: it covers each interval of the hour once.
     const emptyIntervals = Math.min(
-      Math.max(elapsed - 1, 0),
+      Math.max(intervalCount - 1, 0),
       surgeForecast.INTERVALS_PER_HOUR,
     );
-    if (elapsed > 0) this.#observe(this.#requestCount, this.#startedAt);
+    if (intervalCount > 0) this.#observe(this.#requestCount, this.#startedAt);
     for (let intervalsAgo = emptyIntervals; intervalsAgo > 0; intervalsAgo--) {
       this.#observe(
         0,
@@ -83,12 +96,14 @@
     this.parameters.onChange?.(expected);
   }
 
+  /** Adds the requests of one interval to the forecast. */
   #observe(count: number, startedAt: number): void {
     const seconds = surgeForecast.INTERVAL_MILLISECONDS / 1_000;
     this.#forecast.observe(count / seconds, startedAt);
   }
 }
 
+/** Start of the interval that a wall-clock time is in. */
 function intervalStart(wallMilliseconds: number): number {
   const sinceStart = wallMilliseconds % surgeForecast.INTERVAL_MILLISECONDS;
   return wallMilliseconds - sinceStart;
--- a/packages/daemon/src/admission/surge_reserve_test.ts
+++ b/packages/daemon/src/admission/surge_reserve_test.ts
@@ -7,9 +7,9 @@
 const MINUTE_MILLISECONDS = 60 * SECOND_MILLISECONDS;
 const HOUR_MILLISECONDS = 60 * MINUTE_MILLISECONDS;
 const LOW_URGENCY = 6;
-const SHARE = 0.25;
+const RESERVED_SHARE = 0.25;
 
-/** A reserve that has seen an hour with a surge in its first minute. */
+/** A reserve that has observed an hour with a surge in its first minute. */
 function fixture(requestsPerSecond: { quiet: number; surge: number }): {
   reserve: surgeReserve.SurgeReserve;
   moveClockTo: (wallMilliseconds: number) => void;
@@ -18,7 +18,7 @@
   let wallMilliseconds = 0;
   const changes: boolean[] = [];
   const reserve = new surgeReserve.SurgeReserve({
-    share: () => SHARE,
+    share: () => RESERVED_SHARE,
     wallClock: () => wallMilliseconds,
     onChange: (expected) => changes.push(expected),
   });
@@ -33,7 +33,7 @@
   return { reserve, moveClockTo: (to) => (wallMilliseconds = to), changes };
 }
 
-test("room is kept from a minute before a learned surge until its end", (t) => {
+test("capacity is reserved from a minute before a surge until its end", (t) => {
   const { reserve, moveClockTo, changes } = fixture({ quiet: 5, surge: 50 });
   const shares = [58, 58.9, 59.1, 60.4, 61.1, 62].map((minutes) => {
     moveClockTo(minutes * MINUTE_MILLISECONDS);
@@ -43,7 +43,7 @@
   t.deepEqual(changes.slice(-2), [true, false]);
 });
 
-test("usual requests have all room at any time", (t) => {
+test("requests of default urgency may use all capacity at any time", (t) => {
   const { reserve, moveClockTo } = fixture({
     quiet: 5,
     surge: 50,
@@ -53,18 +53,18 @@
   t.is(reserve.capacityShare(0), 1);
 });
 
-test("a few requests are no surge, however quiet the rest of the hour", (t) => {
+test("a low rate is no surge, however quiet the rest of the hour is", (t) => {
   const { reserve, moveClockTo } = fixture({ quiet: 0, surge: 1 });
   moveClockTo(HOUR_MILLISECONDS);
   t.is(reserve.capacityShare(LOW_URGENCY), 1);
 });
 
-// Background requests that come every hour at the same time would else keep
-// room free of themselves.
-test("less urgent requests make no surge", (t) => {
+// Otherwise a batch job that runs at the same time of each hour would have
+// capacity reserved against itself.
+test("less urgent requests do not count as a surge", (t) => {
   let wallMilliseconds = 0;
   const reserve = new surgeReserve.SurgeReserve({
-    share: () => SHARE,
+    share: () => RESERVED_SHARE,
     wallClock: () => wallMilliseconds,
   });
   for (let second = 0; second < 3_600; second++) {
@@ -76,9 +76,9 @@
   t.is(reserve.capacityShare(LOW_URGENCY), 1);
 });
 
-// The process was paused for days, or its host's clock stepped back: it goes on
-// at once, and what it knows of the hour is not lost.
-test("a clock that jumps does no harm", (t) => {
+// The process is paused for days, or its host's clock is set back: the reserve
+// works at once and still knows the surge.
+test("a jump of the wall clock does not lose the forecast", (t) => {
   const { reserve, moveClockTo } = fixture({
     quiet: 5,
     surge: 50,
@@ -88,5 +88,5 @@
   moveClockTo(3 * MINUTE_MILLISECONDS);
   t.is(reserve.capacityShare(LOW_URGENCY), 1);
   moveClockTo(101 * HOUR_MILLISECONDS);
-  t.is(reserve.capacityShare(LOW_URGENCY), 1 - SHARE);
+  t.is(reserve.capacityShare(LOW_URGENCY), 1 - RESERVED_SHARE);
 });
