--- a/packages/daemon/src/forecast/expert_load_forecast.ts
+++ b/packages/daemon/src/forecast/expert_load_forecast.ts
@@ -1,24 +1,28 @@
 import * as intervalOfHour from "./interval_of_hour.ts";
 
-/** Parts into which an hour is cut. */
 const INTERVALS_PER_HOUR = 12;
-/** Weight of the newest observation of a part of the hour. */
+/** Weight of the newest observation in the average load of its interval. */
 const INTERVAL_SMOOTHING = 0.3;
-/** Weight of the newest rate in the running mean. */
+/** Weight of the newest observation in the average of the recent load. */
 const RECENT_SMOOTHING = 0.4;
 
 /**
- * Expert load by part of the hour. Callers wake by the clock, and each kind of
- * request favours its own experts, so the next minutes look more like the same
- * minutes an hour ago than like the last ones.
+ * Forecasts the load of each expert from the recent load and from the same
+ * minutes of earlier hours. Many callers start at fixed minutes of the hour,
+ * and each kind of request activates its own experts. The next minutes
+ * therefore resemble the same minutes an hour ago more than the last few
+ * minutes. A load has one number for each layer and expert, in this order of
+ * indexes.
  */
 export class ExpertLoadForecast {
+  /** Average load of each interval of the hour; `undefined` if not observed. */
   readonly #intervalLoads: (number[][] | undefined)[] = Array.from({
     length: INTERVALS_PER_HOUR,
   });
+  /** Moving average of the load, regardless of the interval. */
   #recentLoad: number[][] | undefined;
 
-  /** Takes in the load seen around a wall-clock time. */
+  /** Adds the load that was measured around a wall-clock time. */
   observe(load: number[][], wallMilliseconds: number): void {
     const interval = intervalOfHour.intervalOfHour(
       wallMilliseconds,
@@ -33,8 +37,9 @@
   }
 
   /**
-   * Load expected over a time from now: the running mean, and as far as the
-   * hour is known by now, what its coming parts were like.
+   * Load expected from a wall-clock time until the horizon: the mean of the
+   * recent load and of all known intervals in this time, at most three
+   * intervals ahead. Returns `undefined` before the first observation.
    */
   forecast(
     wallMilliseconds: number,
@@ -62,13 +67,14 @@
     return this.#recentLoad.map((layer, index) =>
       layer.map(
         (_, expert) =>
-          loads.reduce((sum, one) => sum + one[index][expert], 0) /
+          loads.reduce((sum, load) => sum + load[index][expert], 0) /
           loads.length,
       ),
     );
   }
 }
 
+/** Moving average: moves each number by `weight` towards the new one. */
 function blend(
   before: number[][] | undefined,
   now: number[][],
--- a/packages/daemon/src/forecast/interval_of_hour.ts
+++ b/packages/daemon/src/forecast/interval_of_hour.ts
@@ -1,7 +1,9 @@
-/** Length of an hour in milliseconds. */
 export const HOUR_MILLISECONDS = 3_600_000;
 
-/** Which of `parts` equal parts of its hour a wall-clock time is in, from 0. */
+/**
+ * Divides the hour into equal intervals and returns the number, from 0, of the
+ * one that a wall-clock time is in.
+ */
 export function intervalOfHour(
   wallMilliseconds: number,
   intervalsPerHour: number,
--- a/packages/daemon/src/forecast/surge_forecast.ts
+++ b/packages/daemon/src/forecast/surge_forecast.ts
@@ -1,30 +1,33 @@
 import * as intervalOfHour from "./interval_of_hour.ts";
 
-/** Parts into which an hour is cut. */
 export const INTERVALS_PER_HOUR = 120;
-/** Length of a part in milliseconds. */
 export const INTERVAL_MILLISECONDS =
   intervalOfHour.HOUR_MILLISECONDS / INTERVALS_PER_HOUR;
-/** Weight of the newest hour in what is known of a part. */
+/** Weight of the newest hour in an interval's average rate. */
 const SMOOTHING = 0.4;
-/** Parts that must be known before anything is said of the others. */
+/** Intervals that must have been observed before a surge can be expected. */
 const MIN_KNOWN_INTERVALS = INTERVALS_PER_HOUR / 2;
-/** How much above the hour's mean the rate of a surge is. */
+/** A rate above the mean of the hour times this factor is a surge. */
 const SURGE_FACTOR = 1.5;
 
 /**
- * When in the hour callers crowd in, learned from rates of tokens or requests.
- * Callers that wake by the clock do so at the same minutes of each hour.
+ * Learns at which minutes of the hour surges occur, from rates of text tokens
+ * or of requests. Callers that start by the clock cause them at the same
+ * minutes of each hour.
  */
 export class SurgeForecast {
+  /** Average rate of each interval of the hour; `undefined` if not observed. */
   readonly #rates: (number | undefined)[] = Array.from({
     length: INTERVALS_PER_HOUR,
   });
 
-  /** `leastRate` is a rate that is never a surge, however quiet the rest is. */
+  /**
+   * A rate up to `minSurgeRate` is never a surge, however quiet the rest of the
+   * hour is.
+   */
   constructor(readonly minSurgeRate = 0) {}
 
-  /** Takes in the rate seen around a wall-clock time. */
+  /** Adds the rate that was measured around a wall-clock time. */
   observe(rate: number, wallMilliseconds: number): void {
     const interval = intervalOfHour.intervalOfHour(
       wallMilliseconds,
@@ -34,7 +37,10 @@
     this.#rates[interval] = before + SMOOTHING * (rate - before);
   }
 
-  /** Whether a surge is usual between a wall-clock time and some time later. */
+  /**
+   * Whether a surge is expected between a wall-clock time and the end of the
+   * span after it.
+   */
   expectsSurge(wallMilliseconds: number, spanMilliseconds: number): boolean {
     const knownRates = this.#rates.flatMap((rate) => rate ?? []);
     if (knownRates.length < MIN_KNOWN_INTERVALS) return false;
--- a/packages/daemon/src/forecast/surge_forecast_test.ts
+++ b/packages/daemon/src/forecast/surge_forecast_test.ts
@@ -7,7 +7,7 @@
 const HOUR_MILLISECONDS = 60 * MINUTE_MILLISECONDS;
 const INTERVAL_MILLISECONDS = 30_000;
 
-/** A clock that has seen an hour with a surge in its first two minutes. */
+/** A forecast that observed an hour with a surge in its first two minutes. */
 function afterOneHour(): surgeForecast.SurgeForecast {
   const forecast = new surgeForecast.SurgeForecast();
   for (let at = 0; at < HOUR_MILLISECONDS; at += INTERVAL_MILLISECONDS) {
@@ -16,7 +16,7 @@
   return forecast;
 }
 
-test("a surge that came at the hour is expected at the next", (t) => {
+test("a surge at the start of an hour is expected at the start of later ones", (t) => {
   const forecast = afterOneHour();
   t.true(
     forecast.expectsSurge(
@@ -33,7 +33,7 @@
   );
 });
 
-test("nothing is expected before half an hour was seen", (t) => {
+test("no surge is expected before half an hour was observed", (t) => {
   const forecast = new surgeForecast.SurgeForecast();
   forecast.observe(4_000, 0);
   forecast.observe(1_000, INTERVAL_MILLISECONDS);
