--- a/packages/daemon/src/lease/lease.ts
+++ b/packages/daemon/src/lease/lease.ts
@@ -2,42 +2,49 @@
 import * as backingServices from "@geraniumkeel/backing_services";
 
 /**
- * Fencing numbers that are skipped in a new epoch of the table. Terms were begun in the
- * seconds that it has lost, and their numbers may not be given again: a rank that
- * promised to obey one obeys every term of that number. Terms last for seconds, so
- * fewer than this were lost.
+ * Fencing numbers that are skipped in a new epoch of the table. The table may
+ * have lost its last seconds, and with them the rows of terms that began in
+ * this time. Their numbers must not be used again: a rank that promised to obey
+ * a number obeys every term that has it. Terms last for seconds, so fewer terms
+ * than this were lost.
  */
 const SKIPPED_FENCING_NUMBERS = 1_000;
 
-/** Row of a lease. */
+/** The lease as stored in the table, in JSON. */
 interface LeaseRow {
+  /** Host of the holder; empty if the holder released the lease. */
   holder: string;
   incarnation: string;
+  /** Fencing number of the holder's term. */
   fencing: number;
   /** Epoch of the table in which the row was written. */
   epoch: number;
+  /** Tells this write from every other one. */
   nonce: string;
 }
 
-/** The lease as its holder last wrote it. */
+/** The lease as this process, its holder, last wrote it. */
 interface OwnLease {
   fencing: number;
   revision: backingServices.Revision;
-  /** When the write was begun, by the holder's clock. */
+  /** When the last successful write began, by this process's clock. */
   renewedAt: number;
 }
 
 /**
- * A lease in the table service. It avoids duels between holders of a duty;
- * safety never rests on it. No clocks are compared:
- * a lease lapses for others when its row has not changed for its duration by
- * their own clocks, and for its holder a good deal earlier by its own.
+ * A lease in the table service, on a duty that one process at a time should
+ * have. It keeps processes from superseding each other again and again; safety
+ * never depends on it. The clocks of different hosts are not compared. For
+ * other processes the lease expires when its row has not changed for the lease
+ * duration by their own clocks. For its holder it expires earlier, after half
+ * of the duration by the holder's clock.
  */
 export class Lease {
+  /** Set while this process may be the holder. */
   #own: OwnLease | undefined;
-  /** The row as last seen of another holder, and since when. */
+  /** Revision of another holder's row, and when this process first read it. */
   #observed: { revision: backingServices.Revision; since: number } | undefined;
-  /** Fencing numbers up to this one were promised to others. */
+  /** Ranks have promised others to obey fencing numbers up to this one. */
   #promisedFencing = 0;
 
   constructor(
@@ -51,11 +58,14 @@
     },
   ) {}
 
-  /** Fencing number while the lease is surely held. */
+  /**
+   * Fencing number while this process is certain to be the holder; otherwise
+   * `undefined`.
+   */
   get fencing(): number | undefined {
     const { durationMilliseconds } = this.parameters;
     if (!this.#own) return undefined;
-    // A lease that the table has forgotten is anybody's.
+    // The table may have lost the row, and any process may have the lease now.
     if (this.#own.revision.epoch !== this.#epoch) return undefined;
     const age = common.now() - this.#own.renewedAt;
     return age < durationMilliseconds / 2 ? this.#own.fencing : undefined;
@@ -66,14 +76,17 @@
   }
 
   /**
-   * Takes no fencing number up to this one: somebody promised to obey it. The table may
-   * have forgotten that it was given.
+   * Makes later terms use higher fencing numbers than this one, which a rank
+   * has promised to obey. The table may have lost the row that contained it.
    */
   raiseFencingAbove(fencing: number): void {
     this.#promisedFencing = Math.max(this.#promisedFencing, fencing);
   }
 
-  /** Takes or renews the lease; the fencing number if it is held. */
+  /**
+   * Renews the lease or tries to acquire it. Returns the fencing number if this
+   * process is the holder afterwards.
+   */
   async renew(): Promise<number | undefined> {
     if (this.#own) await this.#extend(this.#own);
     else await this.#acquire();
@@ -81,9 +94,10 @@
   }
 
   /**
-   * Renews on the revision last written, without a read: a read that is served
-   * an old row would have the holder believe that it lost the lease. Nobody else
-   * had it since if the row is still at that revision.
+   * Renews the lease if the row still has the revision that this process wrote
+   * last: then no other process had the lease since. It does not read the row
+   * first: a read may return an old row, and the holder would conclude that it
+   * lost the lease.
    */
   async #extend(own: OwnLease): Promise<void> {
     const renewedAt = common.now();
@@ -94,7 +108,8 @@
         return;
       case backingServices.DefiniteKind.Conflict: {
         const { row } = outcome;
-        // An earlier write of ours may have landed after it was given up.
+        // The row may come from an earlier write of this process that took
+        // effect after the process had stopped waiting for it.
         const isOwnLateWrite = row && this.#isOwnTerm(row, own.fencing);
         this.#own = isOwnLateWrite
           ? { ...own, revision: row.revision }
@@ -110,6 +125,7 @@
     }
   }
 
+  /** Acquires the lease if it is free, expired or this process's own. */
   async #acquire(): Promise<void> {
     const renewedAt = common.now();
     const read = await this.parameters.table.get(this.parameters.key);
@@ -122,14 +138,15 @@
     const fencing = this.#nextFencing(lease);
     const outcome = await this.#write(row?.revision, fencing);
     if (outcome.kind !== backingServices.DefiniteKind.Committed) return;
-    // Written where there was none, in an epoch that began meanwhile.
+    // A row that did not exist may have been written in an epoch that began in
+    // the meantime; the fencing number was chosen for the epoch before.
     if (outcome.revision.epoch !== epoch) return;
     this.#own = { fencing, revision: outcome.revision, renewedAt };
   }
 
   /**
-   * Another holder may have given orders since, also if the row is ours: a new term gets
-   * a new number.
+   * Fencing number of a new term. It is always a new one, even if this process
+   * wrote the row: another holder may have given orders since.
    */
   #nextFencing(last: LeaseRow | undefined): number {
     const epoch = this.#epoch;
@@ -140,18 +157,21 @@
     return Math.max(next, this.#promisedFencing + 1);
   }
 
-  /** Whether this process wrote a row, and the table has lost nothing since. */
+  /** Whether this process wrote the row in the current epoch of the table. */
   #isOfThisIncarnation({ incarnation, epoch }: LeaseRow): boolean {
     return incarnation === this.parameters.incarnation && epoch === this.#epoch;
   }
 
+  /** Whether this process wrote the row in the term with this number. */
   #isOwnTerm(row: backingServices.Row, fencing: number): boolean {
     const lease = parseLease(row);
     const { incarnation } = this.parameters;
     return lease.incarnation === incarnation && lease.fencing === fencing;
   }
 
-  /** Gives the lease up, so that the next holder need not wait. */
+  /**
+   * Releases the lease, so that the next holder need not wait for its expiry.
+   */
   async release(): Promise<void> {
     const own = this.#own;
     this.#own = undefined;
@@ -170,10 +190,12 @@
     });
   }
 
+  /** Whether another process's lease was released or has expired. */
   #hasExpired(row: backingServices.Row): boolean {
     const { holder, epoch } = parseLease(row);
-    // What a table has lost with its last seconds may have been a holder, who knows
-    // nothing of it for some time.
+    // A release that was written in an earlier epoch does not count: the table
+    // may have lost the row of a later holder, who does not notice for some
+    // time.
     if (holder === "" && epoch === this.#epoch) return true;
     const now = common.now();
     const isUnchanged = backingServices.isSameRevision(
@@ -187,7 +209,7 @@
     return now - this.#observed.since > this.parameters.durationMilliseconds;
   }
 
-  /** Writes the row in place of a revision, or where there is none. */
+  /** Writes the row if it has the revision `base`, or if there is none. */
   #write(
     base: backingServices.Revision | undefined,
     fencing: number,
@@ -206,7 +228,8 @@
       conditions: [backingServices.atRevision(key, base)],
       writes: [backingServices.putRow(key, JSON.stringify(lease))],
     };
-    // With lost answers a lease renewed in truth would lapse for its holder.
+    // Repeats the write until its outcome is known: if only the answers were
+    // lost, the lease would expire for its holder although it was renewed.
     return backingServices.writeDefinitely({
       table,
       write: { transaction, decidingKey: key, nonce },
