--- a/packages/daemon/src/admission/account_limits.ts
+++ b/packages/daemon/src/admission/account_limits.ts
@@ -183,8 +183,8 @@
       }
       const waitMilliseconds = await this.#borrow(account, local);
       if (waitMilliseconds === undefined) continue;
-      // No more credit is available now: what remains covers some requests, and
-      // the others are refused with the time after which to retry.
+      // No more credit is available now. What remains may cover some requests; the
+      // others are refused with the time after which to retry.
       for (const remaining of local.waiters.splice(0)) {
         if (covers(local, remaining.needed)) {
           local.requests -= remaining.needed.requests;
@@ -263,7 +263,7 @@
     Extract<wire.Message, { kind: wire.MessageKind.CreditGrant }> | undefined
   > {
     const kind = wire.MessageKind.CreditRequest;
-    const granted = new Promise<
+    const nextGrant = new Promise<
       Extract<wire.Message, { kind: wire.MessageKind.CreditGrant }>
     >((resolve) => this.#grantCallbacks.set(account, resolve));
     const sent = await this.parameters.send(owner, {
@@ -275,7 +275,10 @@
       wantedTokens: wanted.tokens,
     });
     if (!sent) return undefined;
-    const grant = await common.withTimeout(granted, OWNER_TIMEOUT_MILLISECONDS);
+    const grant = await common.withTimeout(
+      nextGrant,
+      OWNER_TIMEOUT_MILLISECONDS,
+    );
     this.#grantCallbacks.delete(account);
     return grant;
   }
