--- a/packages/daemon/src/admission/account_limits.ts
+++ b/packages/daemon/src/admission/account_limits.ts
@@ -183,8 +183,8 @@
       }
       const waitMilliseconds = await this.#borrow(account, local);
       if (waitMilliseconds === undefined) continue;
-      // No more credit is available now. What remains may cover some requests; the
-      // others are refused with the time after which to retry.
+      // No more credit is available now. What remains may cover some requests;
+      // the others are refused with the time after which to retry.
       for (const remaining of local.waiters.splice(0)) {
         if (covers(local, remaining.needed)) {
           local.requests -= remaining.needed.requests;
