--- a/packages/daemon/src/admission/account_limits.ts
+++ b/packages/daemon/src/admission/account_limits.ts
@@ -1,58 +1,68 @@
 import * as common from "@geraniumkeel/common";
 import * as configuration from "@geraniumkeel/configuration";
 import * as wire from "@geraniumkeel/wire";
-import * as bucketShelf from "./bucket_shelf.ts";
+import * as bucketRegistry from "./bucket_registry.ts";
 import type * as creditBucket from "./credit_bucket.ts";
 
 /** Time to wait for the owner's answer before the local share is used. */
 const OWNER_TIMEOUT_MILLISECONDS = 250;
-/** Seconds' worth of an account's limit borrowed at a time, over all entries. */
-const LENT_SECONDS = 0.5;
-/** Credit unused for this long goes back to the owner. */
-const IDLE_MILLISECONDS = 1_000;
+/**
+ * Credit that all entries together borrow at a time beyond their immediate
+ * need, as seconds of the account's rate.
+ */
+const LOAN_SECONDS = 0.5;
+/** An entry returns credit to the owner that it has not used for this long. */
+const IDLE_CREDIT_MILLISECONDS = 1_000;
 
-/** Outcome of asking for credit. */
+/** Whether a request fits in its account's limit. */
 export type LimitOutcome =
   { kind: "granted" } | { kind: "refused"; retryAfterMilliseconds: number };
 
+/** A request that waits for credit. */
 interface Waiter {
   needed: creditBucket.Credit;
   resolve: (outcome: LimitOutcome) => void;
 }
 
-/** Credit of one account at this entry. */
+/** Credit of one account that this entry has borrowed and not used. */
 interface LocalCredit {
   requests: number;
   tokens: number;
   usedAt: number;
   waiters: Waiter[];
-  asking: boolean;
+  /** Whether `#serve` runs for this account. */
+  isServing: boolean;
 }
 
 /** What the limits need of the rest of the entry. */
 export interface AccountLimitsParameters {
+  /** Host of this entry. */
   self: string;
-  /** Entries alive, this one included. */
+  /** Hosts of all live entries, this one included. */
   entries: () => string[];
   account: (name: string) => configuration.Account | undefined;
+  /** Factor by which all limits are scaled. */
   limitScale: () => number;
-  /** Sends to another entry; false when it cannot be reached. */
+  /** Sends to another entry; false if that entry cannot be reached. */
   send: (host: string, message: wire.Message) => Promise<boolean>;
 }
 
 /**
- * Limits of client accounts over all entries together, without a write per
- * request. Each account has an owner among the live entries, which holds its
- * bucket and lends credit to the others in portions. When the owner cannot be
- * reached, an entry gives out its own share, one part in the number of entries:
- * the sum stays within the limit.
+ * Enforces the limits of client accounts over all entries together, without a
+ * write per request. One of the live entries owns the account's token bucket
+ * and lends credit to the other entries in portions. If an entry cannot reach
+ * the owner, it grants requests from its own share of the limit: the limit
+ * divided by the number of entries, so that the sum of all shares stays within
+ * the limit.
  */
 export class AccountLimits {
-  readonly #local = new Map<string, LocalCredit>();
-  readonly #owned: bucketShelf.BucketShelf;
-  /** Buckets with this entry's own share, for when the owner is unreachable. */
-  readonly #shares: bucketShelf.BucketShelf;
-  readonly #grants = new Map<
+  readonly #localCredits = new Map<string, LocalCredit>();
+  /** Buckets of the accounts that this entry owns. */
+  readonly #ownedBuckets: bucketRegistry.BucketRegistry;
+  /** Buckets with this entry's share, used while the owner is unreachable. */
+  readonly #fallbackBuckets: bucketRegistry.BucketRegistry;
+  /** Callbacks that wait for the owner's answer, by account. */
+  readonly #grantCallbacks = new Map<
     string,
     (
       grant: Extract<wire.Message, { kind: wire.MessageKind.CreditGrant }>,
@@ -61,69 +71,80 @@
 
   constructor(readonly parameters: AccountLimitsParameters) {
     const rateOf = (account: string) => this.#rateOf(account);
-    this.#owned = new bucketShelf.BucketShelf({ rateOf, share: () => 1 });
-    this.#shares = new bucketShelf.BucketShelf({
+    this.#ownedBuckets = new bucketRegistry.BucketRegistry({
+      rateOf,
+      share: () => 1,
+    });
+    this.#fallbackBuckets = new bucketRegistry.BucketRegistry({
       rateOf,
       share: () => 1 / Math.max(1, parameters.entries().length),
     });
   }
 
-  /** Takes one request and its tokens from the account's limit. */
-  take(account: string, tokens: number): Promise<LimitOutcome> {
-    const local = this.#localOf(account);
+  /** Charges one request and its estimated tokens to the account's limit. */
+  reserve(account: string, tokens: number): Promise<LimitOutcome> {
+    const local = this.#localCreditOf(account);
     local.usedAt = common.now();
     return new Promise((resolve) => {
       local.waiters.push({ needed: { requests: 1, tokens }, resolve });
-      if (!local.asking) void this.#serve(account, local);
+      if (!local.isServing) void this.#serve(account, local);
     });
   }
 
-  /** Corrects what was reserved by what was used; may leave a debt. */
-  settle(account: string, reservedTokens: number, usedTokens: number): void {
-    this.#localOf(account).tokens += reservedTokens - usedTokens;
+  /**
+   * Replaces the tokens reserved for a request by those that it used. The
+   * credit may become negative.
+   */
+  reconcile(account: string, reservedTokens: number, usedTokens: number): void {
+    this.#localCreditOf(account).tokens += reservedTokens - usedTokens;
   }
 
-  /** Gives the reservation of a request back that did not run. */
+  /** Returns the reservation of a request that did not run. */
   refund(account: string, tokens: number): void {
-    const local = this.#localOf(account);
+    const local = this.#localCreditOf(account);
     local.requests += 1;
     local.tokens += tokens;
   }
 
-  /** Handles credit messages of other entries. */
+  /** Handles credit messages of other entries; ignores all other messages. */
   handle(host: string, message: wire.Message): void {
     switch (message.kind) {
       case wire.MessageKind.CreditRequest:
         return this.#lend(host, message);
       case wire.MessageKind.CreditGrant:
-        return this.#grants.get(message.account)?.(message);
+        return this.#grantCallbacks.get(message.account)?.(message);
       case wire.MessageKind.CreditReturn: {
-        return this.#owned.bucket(message.account)?.giveBack(message);
+        return this.#ownedBuckets
+          .bucketOf(message.account)
+          ?.returnCredit(message);
       }
       default:
         return;
     }
   }
 
-  /** Returns idle credit and forgets idle buckets; call about every second. */
+  /**
+   * Returns unused credit to the owners and drops unused buckets. To be called
+   * about every second.
+   */
   sweep(): void {
     const now = common.now();
-    for (const [account, local] of this.#local) {
-      const idle = now - local.usedAt > IDLE_MILLISECONDS;
+    for (const [account, local] of this.#localCredits) {
+      const idle = now - local.usedAt > IDLE_CREDIT_MILLISECONDS;
       if (!idle || local.waiters.length > 0) continue;
-      this.#local.delete(account);
-      this.#giveBack(account, local);
+      this.#localCredits.delete(account);
+      this.#returnCredit(account, local);
     }
-    this.#owned.sweep();
-    this.#shares.sweep();
+    this.#ownedBuckets.sweep();
+    this.#fallbackBuckets.sweep();
   }
 
-  /** What the state dump says of limits. */
+  /** The limits' part of the state dump. */
   describe(): unknown {
     return {
-      owned: this.#owned.size,
+      owned: this.#ownedBuckets.size,
       borrowing: Object.fromEntries(
-        [...this.#local].map(([account, { requests, tokens }]) => [
+        [...this.#localCredits].map(([account, { requests, tokens }]) => [
           account,
           { requests, tokens: Math.round(tokens) },
         ]),
@@ -131,23 +152,26 @@
     };
   }
 
-  #localOf(account: string): LocalCredit {
-    const known = this.#local.get(account);
+  #localCreditOf(account: string): LocalCredit {
+    const known = this.#localCredits.get(account);
     if (known) return known;
-    const fresh: LocalCredit = {
+    const created: LocalCredit = {
       requests: 0,
       tokens: 0,
       usedAt: common.now(),
       waiters: [],
-      asking: false,
+      isServing: false,
     };
-    this.#local.set(account, fresh);
-    return fresh;
+    this.#localCredits.set(account, created);
+    return created;
   }
 
-  /** Serves waiters in order, asking the owner whenever credit runs out. */
+  /**
+   * Grants or refuses the waiting requests in order and borrows credit whenever
+   * it runs out.
+   */
   async #serve(account: string, local: LocalCredit): Promise<void> {
-    local.asking = true;
+    local.isServing = true;
     while (local.waiters.length > 0) {
       const [waiter] = local.waiters;
       if (covers(local, waiter.needed)) {
@@ -157,24 +181,28 @@
         waiter.resolve({ kind: "granted" });
         continue;
       }
-      const wait = await this.#borrow(account, local);
-      if (wait === undefined) continue;
-      // Nothing more can be had now: all who wait are told when to come back.
-      for (const refused of local.waiters.splice(0)) {
-        if (covers(local, refused.needed)) {
-          local.requests -= refused.needed.requests;
-          local.tokens -= refused.needed.tokens;
-          refused.resolve({ kind: "granted" });
+      const waitMilliseconds = await this.#borrow(account, local);
+      if (waitMilliseconds === undefined) continue;
+      // No more credit is available now. What remains may cover some requests;
+      // the others are refused with the time after which to retry.
+      for (const remaining of local.waiters.splice(0)) {
+        if (covers(local, remaining.needed)) {
+          local.requests -= remaining.needed.requests;
+          local.tokens -= remaining.needed.tokens;
+          remaining.resolve({ kind: "granted" });
           continue;
         }
-        const retryAfterMilliseconds = wait;
-        refused.resolve({ kind: "refused", retryAfterMilliseconds });
+        const retryAfterMilliseconds = waitMilliseconds;
+        remaining.resolve({ kind: "refused", retryAfterMilliseconds });
       }
     }
-    local.asking = false;
+    local.isServing = false;
   }
 
-  /** Adds credit; returns the wait in milliseconds if none could be had. */
+  /**
+   * Borrows credit for the waiting requests. If none is available, returns the
+   * milliseconds to wait; 0 if the account is unknown.
+   */
   async #borrow(
     account: string,
     local: LocalCredit,
@@ -186,32 +214,37 @@
       requests: Math.max(0, first.needed.requests - local.requests),
       tokens: Math.max(0, first.needed.tokens - local.tokens),
     };
-    const share = LENT_SECONDS / Math.max(1, this.parameters.entries().length);
+    const loanSeconds =
+      LOAN_SECONDS / Math.max(1, this.parameters.entries().length);
     const waiting = sum(local.waiters.map((waiter) => waiter.needed));
     const wanted = {
-      requests: Math.ceil(waiting.requests + rate.requests * share),
-      tokens: waiting.tokens + rate.tokens * share,
+      requests: Math.ceil(waiting.requests + rate.requests * loanSeconds),
+      tokens: waiting.tokens + rate.tokens * loanSeconds,
     };
-    const granted = await this.#ask(account, needed, wanted);
-    if ("waitMilliseconds" in granted) return granted.waitMilliseconds;
-    local.requests += granted.granted.requests;
-    local.tokens += granted.granted.tokens;
+    const taken = await this.#obtainCredit(account, needed, wanted);
+    if ("waitMilliseconds" in taken) return taken.waitMilliseconds;
+    local.requests += taken.granted.requests;
+    local.tokens += taken.granted.tokens;
     return undefined;
   }
 
-  async #ask(
+  /**
+   * Takes credit from the owner's bucket, or from this entry's share if the
+   * owner does not answer in time.
+   */
+  async #obtainCredit(
     account: string,
     needed: creditBucket.Credit,
     wanted: creditBucket.Credit,
   ): Promise<ReturnType<creditBucket.CreditBucket["take"]>> {
     const owner = this.#ownerOf(account);
     if (owner === this.parameters.self) {
-      const bucket = this.#owned.bucket(account);
+      const bucket = this.#ownedBuckets.bucketOf(account);
       return bucket?.take(needed, wanted) ?? { waitMilliseconds: 0 };
     }
-    const grant = await this.#askOwner(owner, account, needed, wanted);
+    const grant = await this.#requestFromOwner(owner, account, needed, wanted);
     if (grant === undefined) {
-      const bucket = this.#shares.bucket(account);
+      const bucket = this.#fallbackBuckets.bucketOf(account);
       return bucket?.take(needed, needed) ?? { waitMilliseconds: 0 };
     }
     if (grant.requests === 0 && grant.tokens === 0) {
@@ -220,7 +253,8 @@
     return { granted: grant };
   }
 
-  async #askOwner(
+  /** Asks the owner for credit; `undefined` if it does not answer in time. */
+  async #requestFromOwner(
     owner: string,
     account: string,
     needed: creditBucket.Credit,
@@ -229,9 +263,9 @@
     Extract<wire.Message, { kind: wire.MessageKind.CreditGrant }> | undefined
   > {
     const kind = wire.MessageKind.CreditRequest;
-    const answer = new Promise<
+    const nextGrant = new Promise<
       Extract<wire.Message, { kind: wire.MessageKind.CreditGrant }>
-    >((resolve) => this.#grants.set(account, resolve));
+    >((resolve) => this.#grantCallbacks.set(account, resolve));
     const sent = await this.parameters.send(owner, {
       kind,
       account,
@@ -241,18 +275,21 @@
       wantedTokens: wanted.tokens,
     });
     if (!sent) return undefined;
-    const grant = await common.withTimeout(answer, OWNER_TIMEOUT_MILLISECONDS);
-    this.#grants.delete(account);
+    const grant = await common.withTimeout(
+      nextGrant,
+      OWNER_TIMEOUT_MILLISECONDS,
+    );
+    this.#grantCallbacks.delete(account);
     return grant;
   }
 
-  /** Lends to another entry out of a bucket owned here. */
+  /** Lends credit to another entry from a bucket that this entry owns. */
   #lend(
     host: string,
     request: Extract<wire.Message, { kind: wire.MessageKind.CreditRequest }>,
   ): void {
     const { account } = request;
-    const bucket = this.#owned.bucket(account);
+    const bucket = this.#ownedBuckets.bucketOf(account);
     const wanted = {
       requests: request.wantedRequests,
       tokens: request.wantedTokens,
@@ -266,23 +303,25 @@
     void this.parameters.send(host, { kind, account, ...grant });
   }
 
-  #giveBack(account: string, local: LocalCredit): void {
+  #returnCredit(account: string, local: LocalCredit): void {
     const { requests, tokens } = local;
     if (requests === 0 && tokens === 0) return;
     const owner = this.#ownerOf(account);
     if (owner === this.parameters.self) {
-      this.#owned.bucket(account)?.giveBack({ requests, tokens });
+      this.#ownedBuckets.bucketOf(account)?.returnCredit({ requests, tokens });
       return;
     }
     const kind = wire.MessageKind.CreditReturn;
     void this.parameters.send(owner, { kind, account, requests, tokens });
   }
 
+  /** The entry that owns the account's bucket. */
   #ownerOf(account: string): string {
     const entries = this.parameters.entries();
     return common.rendezvous(account, entries) ?? this.parameters.self;
   }
 
+  /** Rate of an account over all entries; `undefined` if it is unknown. */
   #rateOf(account: string): creditBucket.CreditRate | undefined {
     const configured = this.parameters.account(account);
     if (!configured) return undefined;
@@ -301,7 +340,7 @@
 
 function sum(credits: creditBucket.Credit[]): creditBucket.Credit {
   return {
-    requests: credits.reduce((total, one) => total + one.requests, 0),
-    tokens: credits.reduce((total, one) => total + one.tokens, 0),
+    requests: credits.reduce((total, credit) => total + credit.requests, 0),
+    tokens: credits.reduce((total, credit) => total + credit.tokens, 0),
   };
 }
--- a/packages/daemon/src/admission/service_queue.ts
+++ b/packages/daemon/src/admission/service_queue.ts
@@ -1,117 +1,150 @@
 import * as common from "@geraniumkeel/common";
 import * as accountFlow from "./account_flow.ts";
 import * as rateWindow from "./rate_window.ts";
-import * as returnPacing from "./return_pacing.ts";
+import * as retryPacing from "./retry_pacing.ts";
 import * as surgeReserve from "./surge_reserve.ts";
 
-/** A request waiting for a runner. */
-export interface Waiting<R> {
+/** A request that asks for a runner. */
+export interface WaitingRequest<R> {
   account: string;
-  /** Share of service of the account. */
+  /** Weight of the account in fair queueing. */
   weight: number;
-  /** Cost in tokens. */
+  /** Cost of the request in text tokens. */
   cost: number;
-  /** 0 is most urgent, 7 least. */
+  /** From 0, the most urgent, to 7 (RFC 9218). */
   urgency: number;
-  /** Deadline by this process's clock. */
+  /** Deadline in milliseconds by this process's clock. */
   deadline: number;
+  /** Aborted when the caller disconnects. */
   signal: AbortSignal;
-  /** It had its turn before, and comes back for no fault of its own. */
+  /**
+   * Whether the queue admitted the request before, and it returned for a reason
+   * that is not its own, such as a full runner.
+   */
   wasAdmitted: boolean;
-  /** Takes a runner that has room in this part of its whole room. */
-  take: (roomShare: number) => R | undefined;
+  /**
+   * Reserves a runner that has room within this share of its capacity, from 0
+   * to 1; returns `undefined` if there is none.
+   */
+  takeRunner: (capacityShare: number) => R | undefined;
 }
 
-/** What became of a request that asked for a runner. */
+/** Result of asking for a runner. */
 export type QueueOutcome<R> =
   | { kind: "admitted"; runner: R; waitedMilliseconds: number }
-  /** No room; `waitMilliseconds` is when to come back. */
-  | { kind: "full"; waitMilliseconds: number }
-  /** It would miss its deadline; `waitMilliseconds` is when to come back. */
-  | { kind: "too-late"; waitMilliseconds: number }
+  /** The queue is full; the caller should retry after this time. */
+  | { kind: "full"; retryAfterMilliseconds: number }
+  /** The deadline is too near; the caller should retry after this time. */
+  | { kind: "too-late"; retryAfterMilliseconds: number }
   | { kind: "caller-gone" };
 
-interface Item<R> extends Waiting<R> {
+/** A request in the queue. */
+interface QueuedRequest<R> extends WaitingRequest<R> {
   queuedAt: number;
-  settle: (outcome: QueueOutcome<R>) => void;
+  finish: (outcome: QueueOutcome<R>) => void;
 }
 
+/** Window over which the rate of admissions is measured. */
 const RATE_WINDOW_MILLISECONDS = 2_000;
-/** Accounts whose next request is tried when the first finds no runner. */
-const LOOK_PAST = 4;
+/** Accounts that the queue tries without finding a runner before it stops. */
+const MAX_SKIPPED_ACCOUNTS = 4;
 
 /**
- * Requests of one service waiting at one entry, served by start-time fair
- * queueing over accounts: a large account queues behind its own requests, and
- * not the small ones behind it. Within an account, urgent ones go first. Less
- * urgent ones leave room where a surge is expected, and their places in a full
- * queue to others.
+ * Queue of one service's requests at one entry. Start-time fair queueing shares
+ * the runners among the accounts: an account with many requests waits behind
+ * its own requests and does not delay the small accounts. Within an account,
+ * more urgent requests go first. Requests of less than the default urgency may
+ * use only a part of each runner's capacity while a surge is expected, and a
+ * full queue refuses them in favour of more urgent ones.
  */
 export class ServiceQueue<R> {
-  readonly #flows = new Map<string, accountFlow.AccountFlow<Item<R>>>();
-  readonly #admissions: rateWindow.RateWindow;
+  /** Waiting requests by account. */
+  readonly #flows = new Map<
+    string,
+    accountFlow.AccountFlow<QueuedRequest<R>>
+  >();
+  readonly #admissionRate: rateWindow.RateWindow;
   readonly #now: () => number;
-  readonly #returns: returnPacing.ReturnPacing;
+  readonly #retryPacing: retryPacing.RetryPacing;
+  /** Highest start tag that has been served. */
   #virtualTime = 0;
   #length = 0;
-  /** Of those waiting, how many are less urgent than usual. */
-  #lessUrgent = 0;
+  /** Number of waiting requests of less than the default urgency. */
+  #lessUrgentCount = 0;
 
   constructor(
     readonly parameters: {
+      /** Requests that may wait at once. */
       limit: () => number;
       clock?: () => number;
-      /** Called when a request begins to wait. */
+      /** Called when a request starts to wait. */
       onWaiting?: () => void;
-      /** What is kept free of less urgent requests; nothing if left out. */
+      /** Capacity that less urgent requests leave free; none if omitted. */
       reserve?: surgeReserve.SurgeReserve;
     },
   ) {
     this.#now = parameters.clock ?? common.now;
-    this.#returns = new returnPacing.ReturnPacing(this.#now);
-    this.#admissions = new rateWindow.RateWindow(
+    this.#retryPacing = new retryPacing.RetryPacing(this.#now);
+    this.#admissionRate = new rateWindow.RateWindow(
       RATE_WINDOW_MILLISECONDS,
       this.#now,
     );
   }
 
-  /** Requests waiting. */
+  /** Number of requests waiting. */
   get length(): number {
     return this.#length;
   }
 
-  /** Estimated wait of a request that comes now, in milliseconds. */
+  /**
+   * Milliseconds until all requests that wait now will have been admitted; 0 if
+   * none was admitted recently.
+   */
   get estimatedWait(): number {
     if (this.#length === 0) return 0;
-    const rate = this.#admissions.perMillisecond;
-    return rate > 0 ? this.#length / rate : 0;
+    const requestsPerMillisecond = this.#admissionRate.perMillisecond;
+    return requestsPerMillisecond > 0
+      ? this.#length / requestsPerMillisecond
+      : 0;
   }
 
-  /** Waits for a runner, or refuses at once what cannot be served in time. */
-  enter(waiting: Waiting<R>): Promise<QueueOutcome<R>> | QueueOutcome<R> {
-    if (waiting.signal.aborted) return { kind: "caller-gone" };
-    if (!waiting.wasAdmitted) this.parameters.reserve?.count(waiting.urgency);
-    if (this.#mayPass(waiting)) {
-      const runner = waiting.take(this.#roomShare(waiting));
+  /**
+   * Admits a request at once if it finds a runner, and otherwise queues it. If
+   * the queue is full, or the request would miss its deadline, it is refused at
+   * once.
+   */
+  enter(
+    request: WaitingRequest<R>,
+  ): Promise<QueueOutcome<R>> | QueueOutcome<R> {
+    if (request.signal.aborted) return { kind: "caller-gone" };
+    if (!request.wasAdmitted) this.parameters.reserve?.count(request.urgency);
+    if (this.#maySkipQueue(request)) {
+      const runner = request.takeRunner(this.#capacityShare(request));
       if (runner !== undefined) return this.#admit(runner, 0);
     }
-    if (this.#isFull && !waiting.wasAdmitted && !this.#giveWay(waiting)) {
-      const waitMilliseconds = this.#timeToReturn(this.estimatedWait);
-      return { kind: "full", waitMilliseconds };
+    if (this.#isFull && !request.wasAdmitted && !this.#makeRoomFor(request)) {
+      const retryAfterMilliseconds = this.#nextRetryDelay(this.estimatedWait);
+      return { kind: "full", retryAfterMilliseconds };
     }
-    const waitMilliseconds = this.#expectedWait(waiting);
-    if (this.#now() + waitMilliseconds > waiting.deadline) {
-      const timeToReturn = this.#timeToReturn(waitMilliseconds);
+    const waitMilliseconds = this.#expectedWait(request);
+    if (this.#now() + waitMilliseconds > request.deadline) {
+      const retryDelayMilliseconds = this.#nextRetryDelay(waitMilliseconds);
       return {
         kind: "too-late",
-        waitMilliseconds: Math.max(waitMilliseconds, timeToReturn),
+        retryAfterMilliseconds: Math.max(
+          waitMilliseconds,
+          retryDelayMilliseconds,
+        ),
       };
     }
-    return new Promise((resolve) => this.#insert(waiting, resolve));
+    return new Promise((resolve) => this.#insert(request, resolve));
   }
 
-  /** Admits as many as find a runner; refuses those past their deadline. */
-  pump(): void {
+  /**
+   * Refuses the waiting requests whose deadline has passed and admits as many
+   * of the others as find a runner.
+   */
+  admitWaiting(): void {
     if (this.#length === 0) return;
     this.#dropExpired();
     while (this.#admitNext());
@@ -121,90 +154,105 @@
     return this.#length >= this.parameters.limit();
   }
 
-  #timeToReturn(queueMilliseconds: number): number {
-    const requestsPerMillisecond = this.#admissions.perMillisecond;
-    return this.#returns.next({ queueMilliseconds, requestsPerMillisecond });
+  /** Milliseconds after which the next refused caller should retry. */
+  #nextRetryDelay(queueMilliseconds: number): number {
+    const requestsPerMillisecond = this.#admissionRate.perMillisecond;
+    return this.#retryPacing.nextDelayMilliseconds({
+      queueMilliseconds,
+      requestsPerMillisecond,
+    });
   }
 
   /**
-   * Under fair queueing an account waits for its own requests, and for as many
-   * of each other account that has any waiting.
+   * Milliseconds that a new request would wait. Under fair queueing it waits
+   * for the requests of its own account, and for as many of each other account.
    */
-  #expectedWait(waiting: Waiting<R>): number {
-    const own = this.#flows.get(waiting.account)?.length ?? 0;
-    let ahead = 0;
+  #expectedWait(request: WaitingRequest<R>): number {
+    const ownCount = this.#flows.get(request.account)?.length ?? 0;
+    let requestsAhead = 0;
     for (const flow of this.#flows.values()) {
-      ahead += Math.min(flow.length, own + 1);
+      requestsAhead += Math.min(flow.length, ownCount + 1);
     }
-    const rate = this.#admissions.perMillisecond;
-    return rate > 0 ? ahead / rate : 0;
+    const requestsPerMillisecond = this.#admissionRate.perMillisecond;
+    return requestsPerMillisecond > 0
+      ? requestsAhead / requestsPerMillisecond
+      : 0;
   }
 
-  /** Whether nobody waits who would have to be served first. */
-  #mayPass({ urgency }: Waiting<R>): boolean {
+  /**
+   * Whether a new request may ask for a runner before those that wait: none
+   * waits, or a surge is expected and all that wait are less urgent.
+   */
+  #maySkipQueue({ urgency }: WaitingRequest<R>): boolean {
     if (this.#length === 0) return true;
-    const onlyLessUrgent = this.#lessUrgent === this.#length;
+    const onlyLessUrgent = this.#lessUrgentCount === this.#length;
     if (!onlyLessUrgent || isLessUrgent(urgency)) return false;
     return this.parameters.reserve?.expected ?? false;
   }
 
-  #roomShare({ urgency }: Waiting<R>): number {
-    return this.parameters.reserve?.roomShare(urgency) ?? 1;
+  #capacityShare({ urgency }: WaitingRequest<R>): number {
+    return this.parameters.reserve?.capacityShare(urgency) ?? 1;
   }
 
   /**
-   * Makes place in a full queue by refusing one that nobody waits for: the last
-   * of the account that has most waiting. False if there is none.
+   * Makes room in a full queue by refusing a less urgent request: the last one
+   * of the longest flow that ends in such a request. Returns false if there is
+   * none, or if the new request is itself less urgent.
    */
-  #giveWay({ urgency }: Waiting<R>): boolean {
-    if (this.#lessUrgent === 0 || isLessUrgent(urgency)) return false;
-    const longest = [...this.#flows.values()]
+  #makeRoomFor({ urgency }: WaitingRequest<R>): boolean {
+    if (this.#lessUrgentCount === 0 || isLessUrgent(urgency)) return false;
+    const longestFlow = [...this.#flows.values()]
       .filter((flow) => isLessUrgent(flow.last?.urgency ?? 0))
       .reduce((left, right) => (right.length > left.length ? right : left));
-    const { last } = longest;
-    if (!last) return false;
-    this.#leave(longest, last);
-    const waitMilliseconds = this.#timeToReturn(this.estimatedWait);
-    last.settle({ kind: "full", waitMilliseconds });
+    const { last: evicted } = longestFlow;
+    if (!evicted) return false;
+    this.#remove(longestFlow, evicted);
+    const retryAfterMilliseconds = this.#nextRetryDelay(this.estimatedWait);
+    evicted.finish({ kind: "full", retryAfterMilliseconds });
     return true;
   }
 
-  /** Serves the account whose turn it is, or one of the next ones. */
+  /**
+   * Admits the first request of the account with the lowest start tag. If it
+   * finds no runner, tries the accounts after it. Returns whether a request was
+   * admitted.
+   */
   #admitNext(): boolean {
     const flows = [...this.#flows.values()]
       .filter((flow) => flow.length > 0)
-      .sort((left, right) => left.start - right.start);
-    let passed = 0;
-    let partIsFull = false;
+      .sort((left, right) => left.startTag - right.startTag);
+    let skippedAccounts = 0;
+    let isReducedCapacityFull = false;
     for (const flow of flows) {
-      if (passed === LOOK_PAST) return false;
-      const item = flow.head;
-      if (!item) continue;
-      const roomShare = this.#roomShare(item);
-      if (roomShare < 1 && partIsFull) continue;
-      const runner = item.take(roomShare);
+      if (skippedAccounts === MAX_SKIPPED_ACCOUNTS) return false;
+      const request = flow.head;
+      if (!request) continue;
+      const capacityShare = this.#capacityShare(request);
+      if (capacityShare < 1 && isReducedCapacityFull) continue;
+      const runner = request.takeRunner(capacityShare);
       if (runner === undefined) {
-        // Those who may use a part only do not use up the looks of others.
-        if (roomShare < 1) partIsFull = true;
-        else passed++;
+        // A request that may use only a part of the capacity does not count as
+        // skipped: many of them must not hide one that may use all of it.
+        if (capacityShare < 1) isReducedCapacityFull = true;
+        else skippedAccounts++;
         continue;
       }
-      this.#leave(flow, item);
-      this.#virtualTime = Math.max(this.#virtualTime, flow.start);
-      flow.start += shareOf(item);
-      item.settle(this.#admit(runner, this.#now() - item.queuedAt));
+      this.#remove(flow, request);
+      this.#virtualTime = Math.max(this.#virtualTime, flow.startTag);
+      flow.startTag += virtualCost(request);
+      request.finish(this.#admit(runner, this.#now() - request.queuedAt));
       return true;
     }
     return false;
   }
 
   #admit(runner: R, waitedMilliseconds: number): QueueOutcome<R> {
-    this.#admissions.count();
+    this.#admissionRate.count();
     return { kind: "admitted", runner, waitedMilliseconds };
   }
 
   #insert(
-    waiting: Waiting<R>,
+    waiting: WaitingRequest<R>,
     resolve: (outcome: QueueOutcome<R>) => void,
   ): void {
     const { account } = waiting;
@@ -212,55 +260,69 @@
       this.#flows.get(account) ??
       new accountFlow.AccountFlow(this.#virtualTime);
     this.#flows.set(account, flow);
-    // An account that was away does not save up turns.
-    if (flow.length === 0) flow.start = Math.max(flow.start, this.#virtualTime);
-    const onGone = () => {
-      if (this.#leave(flow, item)) item.settle({ kind: "caller-gone" });
+    // While it has no requests waiting, an account does not save up service.
+    if (flow.length === 0)
+      flow.startTag = Math.max(flow.startTag, this.#virtualTime);
+    const onCallerGone = () => {
+      if (this.#remove(flow, request)) request.finish({ kind: "caller-gone" });
     };
-    const item: Item<R> = {
+    const request: QueuedRequest<R> = {
       ...waiting,
       queuedAt: this.#now(),
-      settle: (outcome) => {
-        waiting.signal.removeEventListener("abort", onGone);
+      finish: (outcome) => {
+        waiting.signal.removeEventListener("abort", onCallerGone);
         resolve(outcome);
       },
     };
-    waiting.signal.addEventListener("abort", onGone, { once: true });
-    flow.add(item);
+    waiting.signal.addEventListener("abort", onCallerGone, { once: true });
+    flow.add(request);
     this.#length++;
-    if (isLessUrgent(item.urgency)) this.#lessUrgent++;
+    if (isLessUrgent(request.urgency)) this.#lessUrgentCount++;
     this.parameters.onWaiting?.();
   }
 
-  #leave(flow: accountFlow.AccountFlow<Item<R>>, item: Item<R>): boolean {
-    if (!flow.remove(item)) return false;
+  #remove(
+    flow: accountFlow.AccountFlow<QueuedRequest<R>>,
+    request: QueuedRequest<R>,
+  ): boolean {
+    if (!flow.remove(request)) return false;
     this.#length--;
-    if (isLessUrgent(item.urgency)) this.#lessUrgent--;
+    if (isLessUrgent(request.urgency)) this.#lessUrgentCount--;
     return true;
   }
 
+  /**
+   * Refuses the requests whose deadline has passed and drops the flows that are
+   * empty and whose start tag is not ahead of the virtual time.
+   */
   #dropExpired(): void {
     const now = this.#now();
     for (const [account, flow] of this.#flows) {
-      const late = flow.items.filter((item) => item.deadline <= now);
-      for (const item of late) {
-        this.#leave(flow, item);
-        const waitMilliseconds = now - item.queuedAt;
-        item.settle({ kind: "too-late", waitMilliseconds });
+      const expired = flow.requests.filter(
+        (request) => request.deadline <= now,
+      );
+      for (const request of expired) {
+        this.#remove(flow, request);
+        const retryAfterMilliseconds = now - request.queuedAt;
+        request.finish({ kind: "too-late", retryAfterMilliseconds });
       }
-      const idle = flow.length === 0 && flow.start <= this.#virtualTime;
-      if (idle) this.#flows.delete(account);
+      const isIdle = flow.length === 0 && flow.startTag <= this.#virtualTime;
+      if (isIdle) this.#flows.delete(account);
     }
   }
 }
 
 function isLessUrgent(urgency: number): boolean {
-  return urgency > surgeReserve.USUAL_URGENCY;
+  return urgency > surgeReserve.DEFAULT_URGENCY;
 }
 
-/** How far a request moves its account back; once, if it comes back itself. */
-function shareOf(item: Waiting<unknown>): number {
-  if (item.wasAdmitted) return 0;
-  const urgency = item.urgency - surgeReserve.USUAL_URGENCY;
-  return (item.cost * Math.pow(2, urgency / 2)) / item.weight;
+/**
+ * Virtual time by which a request advances its account's start tag. A request
+ * that was admitted before is not charged again. Every two levels of lower
+ * urgency double the cost.
+ */
+function virtualCost(request: WaitingRequest<unknown>): number {
+  if (request.wasAdmitted) return 0;
+  const relativeUrgency = request.urgency - surgeReserve.DEFAULT_URGENCY;
+  return (request.cost * Math.pow(2, relativeUrgency / 2)) / request.weight;
 }
--- a/packages/daemon/src/admission/service_queue_test.ts
+++ b/packages/daemon/src/admission/service_queue_test.ts
@@ -4,32 +4,35 @@
 
 const test = ava.default;
 
-const ROOM = 4;
-const BACKGROUND = 6;
-const HOUR = 3_600_000;
+const CAPACITY = 4;
+const LOW_URGENCY = 6;
+const HOUR_MILLISECONDS = 3_600_000;
 
 interface Fixture {
   queue: serviceQueue.ServiceQueue<true>;
-  /** Enters a request; its outcome's kind is noted under its name. */
-  enter: (name: string, change?: Partial<serviceQueue.Waiting<true>>) => void;
+  /** Enters a request and stores its outcome's kind under its name. */
+  enter: (
+    name: string,
+    change?: Partial<serviceQueue.WaitingRequest<true>>,
+  ) => void;
   outcomes: Map<string, string>;
-  /** Frees places at runners and admits who waits. */
-  free: (places: number) => Promise<void>;
+  /** Completes this many running requests and admits waiting ones. */
+  releaseCapacity: (requests: number) => Promise<void>;
 }
 
 function fixture(
   parameters: { limit?: number; surge?: boolean } = {},
 ): Fixture {
-  let busy = 0;
+  let runningCount = 0;
   const outcomes = new Map<string, string>();
   const queue = new serviceQueue.ServiceQueue<true>({
     limit: () => parameters.limit ?? 100,
     clock: () => 0,
-    reserve: parameters.surge ? surgeOn() : undefined,
+    reserve: parameters.surge ? reserveDuringSurge() : undefined,
   });
-  const take = (roomShare: number): true | undefined => {
-    if (busy >= ROOM * roomShare) return undefined;
-    busy++;
+  const takeRunner = (capacityShare: number): true | undefined => {
+    if (runningCount >= CAPACITY * capacityShare) return undefined;
+    runningCount++;
     return true;
   };
   return {
@@ -40,11 +43,11 @@
         account: "one",
         weight: 1,
         cost: 1,
-        urgency: surgeReserve.USUAL_URGENCY,
+        urgency: surgeReserve.DEFAULT_URGENCY,
         deadline: Infinity,
         signal: new AbortController().signal,
         wasAdmitted: false,
-        take,
+        takeRunner,
         ...change,
       });
       if (!(outcome instanceof Promise)) {
@@ -53,102 +56,102 @@
       }
       void outcome.then(({ kind }) => outcomes.set(name, kind));
     },
-    free: async (places) => {
-      busy -= places;
-      queue.pump();
+    releaseCapacity: async (requests) => {
+      runningCount -= requests;
+      queue.admitWaiting();
       await Promise.resolve();
     },
   };
 }
 
-/** A reserve of a half that expects a surge. */
-function surgeOn(): surgeReserve.SurgeReserve {
-  let wall = 0;
+/** A reserve of half the capacity that expects a surge. */
+function reserveDuringSurge(): surgeReserve.SurgeReserve {
+  let wallMilliseconds = 0;
   const share = () => 0.5;
-  const wallClock = () => wall;
+  const wallClock = () => wallMilliseconds;
   const reserve = new surgeReserve.SurgeReserve({ share, wallClock });
-  for (; wall < HOUR; wall += 1_000) {
-    const rate = wall < 60_000 ? 50 : 5;
+  for (; wallMilliseconds < HOUR_MILLISECONDS; wallMilliseconds += 1_000) {
+    const rate = wallMilliseconds < 60_000 ? 50 : 5;
     for (let count = 0; count < rate; count++) reserve.count(0);
   }
   return reserve;
 }
 
-// A report job has filled all runners but the part that is kept for the surge,
-// and more of it waits. A counter's request comes: it must not wait behind it.
-test("a usual request passes those that leave room for the surge", (t) => {
+// A batch job has filled all capacity but the reserve for the surge, and more
+// of its requests wait. An interactive request must not wait behind them.
+test("the surge reserve lets a request of default urgency go first", (t) => {
   const { enter, outcomes, queue } = fixture({ surge: true });
   for (const name of ["a", "b", "c", "d"]) {
-    enter(name, { account: "reports", urgency: BACKGROUND });
+    enter(name, { account: "batch", urgency: LOW_URGENCY });
   }
   t.is(queue.length, 2);
-  enter("counter", { account: "counters" });
-  t.is(outcomes.get("counter"), "admitted");
+  enter("interactive", { account: "interactive" });
+  t.is(outcomes.get("interactive"), "admitted");
   t.is(queue.length, 2);
 });
 
-test("many accounts that leave room do not hide one that need not", async (t) => {
-  const { enter, outcomes, free } = fixture({ surge: true });
+test("many less urgent accounts do not hide one of default urgency", async (t) => {
+  const { enter, outcomes, releaseCapacity } = fixture({ surge: true });
   for (const name of ["1", "2", "3", "4"]) enter(name);
   for (let account = 0; account < 8; account++) {
-    const urgency = BACKGROUND;
-    enter(`report ${account}`, { account: `reports-${account}`, urgency });
+    const urgency = LOW_URGENCY;
+    enter(`batch ${account}`, { account: `batch-${account}`, urgency });
   }
-  enter("counter", { account: "counters" });
-  t.is(outcomes.get("counter"), undefined);
-  await free(1);
-  t.is(outcomes.get("counter"), "admitted");
+  enter("interactive", { account: "interactive" });
+  t.is(outcomes.get("interactive"), undefined);
+  await releaseCapacity(1);
+  t.is(outcomes.get("interactive"), "admitted");
 });
 
-test("without a surge less urgent requests have all room", (t) => {
+test("without a surge less urgent requests may use all capacity", (t) => {
   const { enter, queue } = fixture();
   for (const name of ["a", "b", "c", "d"]) {
-    enter(name, { urgency: BACKGROUND });
+    enter(name, { urgency: LOW_URGENCY });
   }
   t.is(queue.length, 0);
 });
 
-// The queue is full of a report job's requests. A counter's request comes: the
-// last of the job is refused at once, as not run, and the counter's waits.
-test("a full queue gives the place of a less urgent request away", async (t) => {
+// The queue is full of a batch job's requests. When an interactive request
+// arrives, the job's last request is refused and the interactive one waits.
+test("a full queue refuses a less urgent request for a more urgent one", async (t) => {
   const { enter, outcomes, queue } = fixture({ limit: 2 });
   for (const name of ["1", "2", "3", "4"]) enter(name);
-  enter("first", { urgency: BACKGROUND });
-  enter("last", { urgency: BACKGROUND });
-  enter("third", { urgency: BACKGROUND });
+  enter("first", { urgency: LOW_URGENCY });
+  enter("last", { urgency: LOW_URGENCY });
+  enter("third", { urgency: LOW_URGENCY });
   t.is(outcomes.get("third"), "full");
-  enter("counter", { account: "counters" });
+  enter("interactive", { account: "interactive" });
   await Promise.resolve();
   t.is(outcomes.get("last"), "full");
   t.is(outcomes.get("first"), undefined);
   t.is(queue.length, 2);
-  enter("second counter", { account: "counters" });
-  enter("third counter", { account: "counters" });
-  t.is(outcomes.get("third counter"), "full");
+  enter("second interactive", { account: "interactive" });
+  enter("third interactive", { account: "interactive" });
+  t.is(outcomes.get("third interactive"), "full");
 });
 
-test("a large account waits behind its own requests", async (t) => {
-  const { enter, outcomes, free } = fixture();
+test("a small account does not wait behind all requests of a large one", async (t) => {
+  const { enter, outcomes, releaseCapacity } = fixture();
   for (const name of ["1", "2", "3", "4"]) enter(name, { account: "large" });
   for (let count = 0; count < 10; count++) {
     enter(`large ${count}`, { account: "large" });
   }
   enter("small", { account: "small" });
-  await free(2);
+  await releaseCapacity(2);
   t.is(outcomes.get("small"), "admitted");
 });
 
-// A request was admitted, and its runner turned out to be full. It goes first
-// among its account's, and does not cost the account a second turn.
-test("a request that comes back goes first and is not charged again", async (t) => {
-  const { enter, outcomes, free } = fixture();
+// A request was admitted, but its runner was full. It goes before the other
+// requests of its account, and its account is not charged a second time.
+test("a request that returns goes first and is not charged again", async (t) => {
+  const { enter, outcomes, releaseCapacity } = fixture();
   for (const name of ["1", "2", "3", "4"]) enter(name);
   enter("next");
   enter("other", { account: "two" });
   enter("back", { wasAdmitted: true });
-  await free(1);
+  await releaseCapacity(1);
   t.is(outcomes.get("back"), "admitted");
   t.is(outcomes.get("next"), undefined);
-  await free(1);
+  await releaseCapacity(1);
   t.is(outcomes.get("next"), "admitted");
 });
--- a/packages/daemon/src/expert_map/group_coordinator.ts
+++ b/packages/daemon/src/expert_map/group_coordinator.ts
@@ -2,9 +2,9 @@
 import type * as configuration from "@geraniumkeel/configuration";
 import * as wire from "@geraniumkeel/wire";
 import * as deferPlacement from "../placement/defer_placement.ts";
-import * as hourShape from "../forecast/hour_shape.ts";
+import * as expertLoadForecast from "../forecast/expert_load_forecast.ts";
 import * as placementDecision from "../placement/placement_decision.ts";
-import * as surgeClock from "../forecast/surge_clock.ts";
+import * as surgeForecast from "../forecast/surge_forecast.ts";
 import type * as leaseModule from "../lease/lease.ts";
 import * as groupTerm from "./group_term.ts";
 import * as inspectGroup from "./inspect_group.ts";
@@ -83,8 +83,8 @@
  * starts.
  */
 export class GroupCoordinator {
-  readonly #hourlyLoad = new hourShape.HourShape();
-  readonly #surgeClock = new surgeClock.SurgeClock();
+  readonly #hourlyLoad = new expertLoadForecast.ExpertLoadForecast();
+  readonly #surgeClock = new surgeForecast.SurgeForecast();
   #lastPlan: placementDecision.PlacementDecision | undefined;
   /** Switches committed since this coordinator started. */
   #committedSwitches = 0;
@@ -216,7 +216,7 @@
       case "superseded":
         // The table service may have lost the fencing number that the ranks
         // promised; the next one must be higher.
-        this.parameters.lease.outdo(outcome.promisedFencing);
+        this.parameters.lease.raiseFencingAbove(outcome.promisedFencing);
         return "superseded";
       case "unreached":
         return undefined;
--- a/packages/daemon/src/placement/defer_placement.ts
+++ b/packages/daemon/src/placement/defer_placement.ts
@@ -1,5 +1,5 @@
 import type * as placementDecision from "./placement_decision.ts";
-import type * as surgeClock from "../forecast/surge_clock.ts";
+import type * as surgeForecast from "../forecast/surge_forecast.ts";
 
 /**
  * Time before an expected surge in which a new placement is deferred. Loading
@@ -17,7 +17,7 @@
  */
 export function isDeferred(parameters: {
   decision: placementDecision.PlacementDecision;
-  clock: surgeClock.SurgeClock;
+  clock: surgeForecast.SurgeForecast;
   wallMilliseconds: number;
 }): boolean {
   const { decision, clock, wallMilliseconds } = parameters;
--- a/packages/daemon/src/routing/choose_rank.ts
+++ b/packages/daemon/src/routing/choose_rank.ts
@@ -1,90 +1,123 @@
 import type * as common from "@geraniumkeel/common";
-import type * as stepCost from "./step_cost.ts";
+import type * as iterationTimeModel from "./iteration_time_model.ts";
 
-/** One rank as a candidate for a request. */
+/** One rank of a group that a request may use. */
 export interface RankCandidate {
+  /** Number of the rank in its group. */
   rank: number;
-  work: stepCost.RankWork;
-  /** Whether it may be chosen; others still count for the group's step time. */
+  work: iterationTimeModel.RankWork;
+  /** Whether the rank may be chosen; if not, it still slows the group. */
   eligible: boolean;
-  /** Prompt tokens whose KV cache it is believed to hold. */
+  /** Prompt tokens that the rank's KV cache is believed to contain. */
   prefixTokens: number;
-  /** One-way distance in milliseconds. */
+  /** One-way network delay in milliseconds. */
   distanceMilliseconds: number;
 }
 
-/** Sizes of the request to be placed. */
+/** Size of the request, in text tokens. */
 export interface RequestSize {
   promptTokens: number;
+  /** Expected length of the answer; each iteration generates one token. */
   expectedTokens: number;
 }
 
-/** Chosen candidate, with the figures that explain it. */
+/** The chosen rank, with the predictions behind the choice. */
 export interface RankChoice {
+  /** Index of the candidate. */
   index: number;
-  /** The group's step time before the request, in milliseconds. */
-  before: number;
-  /** Growth of the group's step time in milliseconds. */
-  growth: number;
-  /** The rank's step time after the request, in milliseconds. */
-  after: number;
+  /** The group's iteration time without the request. */
+  iterationMilliseconds: number;
+  /** By how much the request lengthens the group's iteration. */
+  growthMilliseconds: number;
+  /** The rank's own iteration time with the request. */
+  rankMilliseconds: number;
 }
 
 /**
- * Candidates within this share of the group's step time of the best score count
- * as equal. Many entries choose on nearly the same view: taking the very best
- * sends them all to one rank, taking any of the near-best spreads them.
+ * Candidates count as equal if their score exceeds the lowest one by at most
+ * this share of the group's iteration time. Many entries choose by nearly the
+ * same load reports: if each took the lowest score, all would send to one rank;
+ * a random choice among the near-best ranks spreads the requests.
  */
 const NEAR_BEST_SHARE = 0.01;
-/** Growth of the group's step holds back every rank, so it weighs more. */
+/** Growth of the group's iteration delays every rank, so it weighs more. */
 const GROWTH_WEIGHT = 4;
 
 /**
- * The rank whose gain least raises the group's step time. A step takes as long
- * as the slowest rank; a request that fits under the straggler costs nothing.
+ * Chooses the rank on which the request least lengthens the group's iteration.
+ * An iteration takes as long as its slowest rank, so a request costs the group
+ * nothing on a rank that stays faster than that one. Among such ranks it
+ * prefers fast and near ones. Ranks that are nearly as good share the requests
+ * at random. Returns `undefined` if no candidate is eligible.
  */
 export function chooseRank(parameters: {
   candidates: RankCandidate[];
-  cost: stepCost.StepCost;
+  timeModel: iterationTimeModel.IterationTimeModel;
   size: RequestSize;
   random: common.Random;
 }): RankChoice | undefined {
-  const { candidates, cost, size, random } = parameters;
-  let slowest = 0;
+  const { candidates, timeModel, size, random } = parameters;
+  let slowestMilliseconds = 0;
   for (const { rank, work } of candidates) {
-    slowest = Math.max(slowest, cost.predict(rank, work));
+    slowestMilliseconds = Math.max(
+      slowestMilliseconds,
+      timeModel.predictMilliseconds(rank, work),
+    );
   }
   const choices: (RankChoice & { score: number })[] = [];
-  let best = Infinity;
-  const steps = Math.max(size.expectedTokens, 1);
+  let bestScore = Infinity;
+  const iterations = Math.max(size.expectedTokens, 1);
   for (let index = 0; index < candidates.length; index++) {
     const candidate = candidates[index];
     if (!candidate.eligible) continue;
-    const after = cost.predict(candidate.rank, withRequest(candidate, size));
-    const growth = Math.max(0, after - slowest);
-    const distance = (2 * candidate.distanceMilliseconds) / steps;
-    const score = after + GROWTH_WEIGHT * growth + distance;
-    best = Math.min(best, score);
-    choices.push({ index, before: slowest, growth, after, score });
+    const rankMilliseconds = timeModel.predictMilliseconds(
+      candidate.rank,
+      withRequest(candidate, size),
+    );
+    const growthMilliseconds = Math.max(
+      0,
+      rankMilliseconds - slowestMilliseconds,
+    );
+    const roundTripPerIteration =
+      (2 * candidate.distanceMilliseconds) / iterations;
+    const score =
+      rankMilliseconds +
+      GROWTH_WEIGHT * growthMilliseconds +
+      roundTripPerIteration;
+    bestScore = Math.min(bestScore, score);
+    choices.push({
+      index,
+      iterationMilliseconds: slowestMilliseconds,
+      growthMilliseconds,
+      rankMilliseconds,
+      score,
+    });
   }
   if (choices.length === 0) return undefined;
-  const limit = best + NEAR_BEST_SHARE * slowest;
-  const near = choices.filter((choice) => choice.score <= limit);
-  return random.pick(near);
+  const scoreLimit = bestScore + NEAR_BEST_SHARE * slowestMilliseconds;
+  const nearBest = choices.filter((choice) => choice.score <= scoreLimit);
+  return random.pick(nearBest);
 }
 
-/** The rank's work with the request added, averaged over the request's life. */
+/**
+ * The rank's work with the request added, as an average over the iterations of
+ * the request: on average half of its answer is in the KV cache, and its
+ * uncached prompt tokens are spread over all its iterations.
+ */
 function withRequest(
   candidate: RankCandidate,
   size: RequestSize,
-): stepCost.RankWork {
+): iterationTimeModel.RankWork {
   const { work } = candidate;
-  const fresh = Math.max(0, size.promptTokens - candidate.prefixTokens);
-  const steps = Math.max(size.expectedTokens, 1);
-  const cached = size.promptTokens + size.expectedTokens / 2;
+  const uncachedTokens = Math.max(
+    0,
+    size.promptTokens - candidate.prefixTokens,
+  );
+  const iterations = Math.max(size.expectedTokens, 1);
+  const meanCachedTokens = size.promptTokens + size.expectedTokens / 2;
   return {
     sequences: work.sequences + 1,
-    cachedTokens: work.cachedTokens + cached,
-    prefillTokens: work.prefillTokens + fresh / steps,
+    cachedTokens: work.cachedTokens + meanCachedTokens,
+    prefillTokens: work.prefillTokens + uncachedTokens / iterations,
   };
 }
--- a/packages/daemon/src/routing/prefix_index.ts
+++ b/packages/daemon/src/routing/prefix_index.ts
@@ -2,73 +2,83 @@
 import * as engine from "@geraniumkeel/engine";
 import type * as wire from "@geraniumkeel/wire";
 
-/** Blocks remembered per runner; an engine's memory is limited too. */
-const BLOCKS_PER_RUNNER = 16_384;
-/** Prefix blocks looked at per request. */
-const LONGEST_CHAIN = 256;
+/** Blocks remembered per runner; the engine's cache is limited as well. */
+const MAX_BLOCKS_PER_RUNNER = 16_384;
+/** Prefix blocks that are hashed per prompt; the rest is ignored. */
+const MAX_BLOCKS_PER_PROMPT = 256;
 
-/** Chained hashes of a prompt's whole prefix blocks. */
-export function prefixBlocks(prompt: string): string[] {
+/**
+ * Hashes the complete prefix blocks of a prompt. Each hash covers its block and
+ * all blocks before, so equal hashes mean equal prefixes.
+ */
+export function hashPrefixBlocks(prompt: string): string[] {
   const blocks: string[] = [];
-  let previous = "";
+  let previousHash = "";
   const size = engine.PREFIX_BLOCK_CHARACTERS;
-  const count = Math.min(Math.floor(prompt.length / size), LONGEST_CHAIN);
+  const count = Math.min(
+    Math.floor(prompt.length / size),
+    MAX_BLOCKS_PER_PROMPT,
+  );
   for (let index = 0; index < count; index++) {
     const text = prompt.slice(index * size, (index + 1) * size);
-    previous = common.hash64(previous + text);
-    blocks.push(previous);
+    previousHash = common.hash64(previousHash + text);
+    blocks.push(previousHash);
   }
   return blocks;
 }
 
 /**
- * Which prefix blocks each runner is believed to hold, from cache events. They
- * come late and with gaps; a wrong belief costs time only, never correctness.
+ * Records which prefix blocks are believed to be in each runner's KV cache, by
+ * the cache events of its engine. These events arrive late and may have gaps. A
+ * wrong record only costs time; the answers stay correct.
  */
 export class PrefixIndex {
-  readonly #blocks = new Map<string, Set<string>>();
+  readonly #cachedBlocks = new Map<string, Set<string>>();
 
-  /** Takes in cache events of a runner; a gap voids what was believed. */
+  /** Applies a runner's cache events; a gap clears the runner's record. */
   apply(runner: string, changes: wire.CacheChange[]): void {
     for (const change of changes) {
-      if (change.gap) this.#blocks.delete(runner);
-      const held = this.#held(runner);
-      for (const block of change.removed) held.delete(block);
-      for (const block of change.stored) this.#add(held, block);
+      if (change.gap) this.#cachedBlocks.delete(runner);
+      const cached = this.#cachedBlocksOf(runner);
+      for (const block of change.removed) cached.delete(block);
+      for (const block of change.stored) this.#add(cached, block);
     }
   }
 
-  /** Notes a prompt just sent, ahead of the engine's late event. */
-  expect(runner: string, blocks: string[]): void {
-    const held = this.#held(runner);
-    for (const block of blocks) this.#add(held, block);
+  /** Records a prompt that was just sent, before the engine's event arrives. */
+  assumeCached(runner: string, blocks: string[]): void {
+    const cached = this.#cachedBlocksOf(runner);
+    for (const block of blocks) this.#add(cached, block);
   }
 
-  /** Prompt tokens of the longest prefix that the runner should hold. */
-  match(runner: string, blocks: string[]): number {
-    const held = this.#blocks.get(runner);
-    if (!held) return 0;
+  /**
+   * Estimates the tokens of the longest prefix in the runner's cache, at 4
+   * characters per token.
+   */
+  countCachedTokens(runner: string, blocks: string[]): number {
+    const cached = this.#cachedBlocks.get(runner);
+    if (!cached) return 0;
     let count = 0;
-    while (count < blocks.length && held.has(blocks[count])) count++;
+    while (count < blocks.length && cached.has(blocks[count])) count++;
     return (count * engine.PREFIX_BLOCK_CHARACTERS) / 4;
   }
 
-  /** Forgets a runner that was replaced or has gone. */
+  /** Drops the record of a runner that was replaced or departed. */
   forget(runner: string): void {
-    this.#blocks.delete(runner);
+    this.#cachedBlocks.delete(runner);
   }
 
-  #held(runner: string): Set<string> {
-    const held = this.#blocks.get(runner) ?? new Set();
-    this.#blocks.set(runner, held);
-    return held;
+  #cachedBlocksOf(runner: string): Set<string> {
+    const cached = this.#cachedBlocks.get(runner) ?? new Set();
+    this.#cachedBlocks.set(runner, cached);
+    return cached;
   }
 
-  #add(held: Set<string>, block: string): void {
-    held.delete(block);
-    held.add(block);
-    if (held.size <= BLOCKS_PER_RUNNER) return;
-    const [oldest] = held;
-    held.delete(oldest);
+  #add(cached: Set<string>, block: string): void {
+    cached.delete(block);
+    cached.add(block);
+    if (cached.size <= MAX_BLOCKS_PER_RUNNER) return;
+    const [oldest] = cached;
+    cached.delete(oldest);
   }
 }
--- a/packages/stand_ins/src/measure/groups_model.ts
+++ b/packages/stand_ins/src/measure/groups_model.ts
@@ -1,7 +1,7 @@
 import * as common from "@geraniumkeel/common";
 import * as chooseGroup from "@geraniumkeel/daemon/routing/choose_group";
 import * as chooseRank from "@geraniumkeel/daemon/routing/choose_rank";
-import * as stepCost from "@geraniumkeel/daemon/routing/step_cost";
+import * as iterationTimeModel from "@geraniumkeel/daemon/routing/iteration_time_model";
 import * as lockStepRank from "./lock_step_rank.ts";
 import * as statistics from "./statistics.ts";
 
@@ -44,8 +44,8 @@
 export class GroupsModel {
   readonly #random: common.Random;
   readonly #groups: Group[];
-  readonly #views: stepCost.RankWork[][][];
-  readonly #costs: stepCost.StepCost[][];
+  readonly #views: iterationTimeModel.RankWork[][][];
+  readonly #costs: iterationTimeModel.IterationTimeModel[][];
   readonly #skews: number[] = [];
   readonly #tokens: number[] = [];
   readonly #firstTokens: number[] = [];
@@ -66,7 +66,7 @@
       this.#groups.map(({ ranks }) => ranks.map(lockStepRank.workOf)),
     );
     this.#costs = this.#views.map(() =>
-      this.#groups.map(() => new stepCost.StepCost()),
+      this.#groups.map(() => new iterationTimeModel.IterationTimeModel()),
     );
   }
 
@@ -127,7 +127,7 @@
       this.#candidate(entry, group, promptTokens),
     );
     const group = this.#chooseGroup(candidates);
-    return { group, rank: candidates[group].rank.index };
+    return { group, rank: candidates[group].choice.index };
   }
 
   #chooseGroup(candidates: chooseGroup.GroupCandidate[]): number {
@@ -136,7 +136,9 @@
       case GroupPolicy.Random:
         return random.below(GROUPS);
       case GroupPolicy.FastestRank: {
-        const after = candidates.map(({ rank }) => rank.after);
+        const after = candidates.map(
+          ({ choice: rank }) => rank.rankMilliseconds,
+        );
         return after.indexOf(Math.min(...after));
       }
       case GroupPolicy.TwoChoices: {
@@ -150,7 +152,7 @@
         return (
           chooseGroup.chooseGroup({
             candidates,
-            steps: EXPECTED_TOKENS,
+            iterations: EXPECTED_TOKENS,
             random,
           }) ?? 0
         );
@@ -171,13 +173,13 @@
         prefixTokens: 0,
         distanceMilliseconds: 0,
       })),
-      cost: this.#costs[entry][group],
+      timeModel: this.#costs[entry][group],
       size: { promptTokens, expectedTokens: EXPECTED_TOKENS },
       random: this.#random,
     });
     if (!rank) throw new Error("no rank is eligible");
     const sequences = views.reduce((sum, work) => sum + work.sequences, 0);
-    return { sequences, rank, distanceMilliseconds: 0 };
+    return { sequences, choice: rank, distanceMilliseconds: 0 };
   }
 
   #step(group: Group): void {
