--- a/packages/daemon/src/rank_group/choice_meter.ts
+++ b/packages/daemon/src/rank_group/activation_meter.ts
@@ -3,8 +3,8 @@
  * weight in a fixed time, so that a change in demand outweighs the past soon and
  * single passes do not.
  */
-export class ChoiceMeter {
-  #rates: number[][] = [];
+export class ActivationMeter {
+  #decayedCounts: number[][] = [];
   #decayedAt: number | undefined;
 
   constructor(
@@ -15,15 +15,15 @@
   ) {}
 
   /** Weighted counts by layer and expert. */
-  get rates(): number[][] {
-    return this.#rates;
+  get decayedCounts(): number[][] {
+    return this.#decayedCounts;
   }
 
   /** Sum of all counts, by weight. */
   get weight(): number {
     let sum = 0;
-    for (const layer of this.#rates) {
-      for (const rate of layer) sum += rate;
+    for (const layer of this.#decayedCounts) {
+      for (const decayedCount of layer) sum += decayedCount;
     }
     return sum;
   }
@@ -34,14 +34,15 @@
     this.#decay(now);
     chosen.forEach((count, index) => {
       const layer = Math.floor(index / expertsPerLayer);
-      const rates = (this.#rates[layer] ??= newLayer(expertsPerLayer));
-      rates[index % expertsPerLayer] += count;
+      const layerCounts = (this.#decayedCounts[layer] ??=
+        newLayer(expertsPerLayer));
+      layerCounts[index % expertsPerLayer] += count;
     });
   }
 
   /** Takes over what another meter holds. */
-  copyFrom(other: ChoiceMeter): void {
-    this.#rates = other.#rates.map((layer) => [...layer]);
+  copyFrom(other: ActivationMeter): void {
+    this.#decayedCounts = other.#decayedCounts.map((layer) => [...layer]);
     this.#decayedAt = other.#decayedAt;
   }
 
@@ -50,7 +51,7 @@
     this.#decayedAt = now;
     if (elapsed <= 0) return;
     const factor = 0.5 ** (elapsed / this.parameters.halfLifeMilliseconds);
-    for (const layer of this.#rates) {
+    for (const layer of this.#decayedCounts) {
       for (let expert = 0; expert < layer.length; expert++) {
         layer[expert] *= factor;
       }
@@ -63,15 +64,20 @@
 }
 
 /** Part of the choices, 0 to 1, in which two meters differ. */
-export function distanceOf(left: ChoiceMeter, right: ChoiceMeter): number {
+export function distanceOf(
+  left: ActivationMeter,
+  right: ActivationMeter,
+): number {
   const leftWeight = left.weight;
   const rightWeight = right.weight;
   if (leftWeight === 0 || rightWeight === 0) return 0;
   let sum = 0;
-  left.rates.forEach((layer, index) => {
-    const other = right.rates[index];
-    layer.forEach((rate, expert) => {
-      sum += Math.abs(rate / leftWeight - (other?.[expert] ?? 0) / rightWeight);
+  left.decayedCounts.forEach((layer, index) => {
+    const other = right.decayedCounts[index];
+    layer.forEach((decayedCount, expert) => {
+      sum += Math.abs(
+        decayedCount / leftWeight - (other?.[expert] ?? 0) / rightWeight,
+      );
     });
   });
   return sum / 2;
--- a/packages/daemon/src/rank_group/worth_of_copy.ts
+++ b/packages/daemon/src/rank_group/copy_cost.ts
@@ -1,23 +1,23 @@
 import type * as traffic from "@geraniumkeel/traffic";
 import type * as wire from "@geraniumkeel/wire";
-import * as passTime from "../pass/pass_time.ts";
+import * as iterationTime from "../iteration/iteration_time.ts";
 
 /**
  * Strain up to which a more even map serves nobody sooner, and from which the next
  * shift of demand would make all streams of the group late.
  */
-const EASY_STRAIN = 0.6;
-const FULL_STRAIN = 1;
+const LOW_STRAIN = 0.6;
+const HIGH_STRAIN = 1;
 /**
  * Part of the slowest ranks' time that loading one expert must save. Every copy takes
  * the link of a rank for a while. With room, only the worst peaks are levelled, as no
  * answer is later for the others. Near the gap one percent pays: a stream that pauses
  * too long is late as a whole, and all streams of a group pause together.
  */
-const EASY_GAIN = 0.04;
-const FULL_GAIN = 0.01;
+const CALM_MIN_SAVING = 0.04;
+const STRAINED_MIN_SAVING = 0.01;
 /** Least cost of a copy, however fast it loads: it is moved between hosts. */
-const LEAST_COST = 0.2;
+const MIN_COPY_COST = 0.2;
 /** How much longer passes take while ranks load, as engines tell. */
 const LOADING_SLOWDOWN = 1.15;
 /**
@@ -25,7 +25,7 @@
  * cheap; longer, a first small change that comes sooner is worth more than a better
  * one later.
  */
-const SWITCH_MILLISECONDS = 150;
+const SWITCH_OVERHEAD_MILLISECONDS = 150;
 
 /** How near to its limits a group is. */
 export interface GroupLoad {
@@ -44,19 +44,30 @@
  */
 export function strainOf(load: GroupLoad): number {
   const { shape, statuses, skewAfterShift, gapMilliseconds } = load;
-  if (statuses.every(({ mapVersion }) => mapVersion === 0)) return FULL_STRAIN;
+  if (statuses.every(({ mapVersion }) => mapVersion === 0)) return HIGH_STRAIN;
   const requests = statuses.reduce(
     (sum, { active, waiting }) => sum + active + waiting,
     0,
   );
   const slots = Math.max(1, statuses.length * shape.slots);
   if (gapMilliseconds <= 0) return requests / slots;
-  const writing = Math.min(requests, slots);
-  const promptTokens = passTime.steadyPromptTokens(shape, writing);
-  const work = { writing, promptTokens };
-  const ofMeanRank = passTime.meanWork(shape, statuses.length, work);
-  const pass = passTime.passMilliseconds(shape, ofMeanRank, skewAfterShift);
-  return (pass * LOADING_SLOWDOWN) / gapMilliseconds;
+  const decoding = Math.min(requests, slots);
+  const promptTokens = iterationTime.steadyPromptTokensPerIteration(
+    shape,
+    decoding,
+  );
+  const work = { decoding, promptTokens };
+  const meanWork = iterationTime.meanWorkMilliseconds(
+    shape,
+    statuses.length,
+    work,
+  );
+  const iteration = iterationTime.iterationMilliseconds(
+    shape,
+    meanWork,
+    skewAfterShift,
+  );
+  return (iteration * LOADING_SLOWDOWN) / gapMilliseconds;
 }
 
 /**
@@ -64,11 +75,11 @@
  * on which demand shifts every few seconds while load swings between a quarter of
  * the slots and all of them.
  */
-export function leastGainOfCopy(strain: number): number {
-  const span = FULL_STRAIN - EASY_STRAIN;
-  const position = Math.min(1, Math.max(0, (strain - EASY_STRAIN) / span));
+export function minSavingOfCopy(strain: number): number {
+  const span = HIGH_STRAIN - LOW_STRAIN;
+  const position = Math.min(1, Math.max(0, (strain - LOW_STRAIN) / span));
   // Even steps in the logarithm: the gain of further copies falls like that.
-  return EASY_GAIN * (FULL_GAIN / EASY_GAIN) ** position;
+  return CALM_MIN_SAVING * (STRAINED_MIN_SAVING / CALM_MIN_SAVING) ** position;
 }
 
 /**
@@ -81,12 +92,15 @@
   const { copyMilliseconds, slots } = shape;
   if (copyMilliseconds <= 0) return 1;
   const cost = copyMilliseconds / Math.max(1, ranks * slots);
-  return Math.max(LEAST_COST, cost);
+  return Math.max(MIN_COPY_COST, cost);
 }
 
 /** Experts that a rank loads at most for one map. */
-export function copiesPerRank(shape: traffic.EngineShape): number {
+export function maxCopiesPerRank(shape: traffic.EngineShape): number {
   const { copyMilliseconds } = shape;
   if (copyMilliseconds <= 0) return 1;
-  return Math.max(1, Math.floor(SWITCH_MILLISECONDS / copyMilliseconds));
+  return Math.max(
+    1,
+    Math.floor(SWITCH_OVERHEAD_MILLISECONDS / copyMilliseconds),
+  );
 }
--- a/packages/daemon/src/rank_group/worth_of_copy_test.ts
+++ b/packages/daemon/src/rank_group/copy_cost_test.ts
@@ -1,6 +1,6 @@
 import * as ava from "ava";
 import * as rankFixture from "./rank_fixture.ts";
-import * as worthOfCopy from "./worth_of_copy.ts";
+import * as copyCost from "./copy_cost.ts";
 
 const test = ava.default;
 
@@ -8,8 +8,8 @@
 
 function loadOf(
   active: number,
-  others: Partial<worthOfCopy.GroupLoad> = {},
-): worthOfCopy.GroupLoad {
+  others: Partial<copyCost.GroupLoad> = {},
+): copyCost.GroupLoad {
   return {
     shape: SHAPE,
     statuses: Array.from({ length: 12 }, () =>
@@ -25,21 +25,21 @@
 // a rush it lets a group answer half as many again. Copies are weighed by how near
 // the next shift of demand brings the group to its longest pause.
 test("a copy must gain less the more strained the group is", (t) => {
-  const gains = [0, 0.2, 0.6, 0.7, 0.9, 1].map(worthOfCopy.leastGainOfCopy);
-  for (let index = 1; index < gains.length; index++) {
-    t.true(gains[index] <= gains[index - 1]);
+  const savings = [0, 0.2, 0.6, 0.7, 0.9, 1].map(copyCost.minSavingOfCopy);
+  for (let index = 1; index < savings.length; index++) {
+    t.true(savings[index] <= savings[index - 1]);
   }
-  t.true(gains[0] >= 4 * gains[5]);
+  t.true(savings[0] >= 4 * savings[5]);
 });
 
 test("strain grows with requests and with what a shift brings", (t) => {
   const strains = [1, 3, 5, 8].map((active) =>
-    worthOfCopy.strainOf(loadOf(active)),
+    copyCost.strainOf(loadOf(active)),
   );
   for (let index = 1; index < strains.length; index++) {
     t.true(strains[index] > strains[index - 1]);
   }
-  const calm = worthOfCopy.strainOf(loadOf(8, { skewAfterShift: 1.1 }));
+  const calm = copyCost.strainOf(loadOf(8, { skewAfterShift: 1.1 }));
   t.true(calm < strains[3]);
   t.true(strains[0] < 0.6);
   t.true(strains[3] > 1);
@@ -47,7 +47,7 @@
 
 test("without a longest pause the part of the slots that is taken counts", (t) => {
   const load = loadOf(4, { gapMilliseconds: 0 });
-  t.is(worthOfCopy.strainOf(load), 0.5);
+  t.is(copyCost.strainOf(load), 0.5);
 });
 
 // After an outage the backlog arrives in the second in which the next map is
@@ -55,15 +55,15 @@
 test("a group with its first map is planned for as strained", (t) => {
   const status = rankFixture.createStatus({ active: 1, mapVersion: 0 });
   const first = [status, status];
-  t.is(worthOfCopy.strainOf(loadOf(1, { statuses: first })), 1);
-  t.true(worthOfCopy.strainOf(loadOf(1)) < 0.6);
+  t.is(copyCost.strainOf(loadOf(1, { statuses: first })), 1);
+  t.true(copyCost.strainOf(loadOf(1)) < 0.6);
 });
 
 // Streams wait for the slowest rank until a better map is loaded. One that takes as
 // long as the rest of a switch comes soon; experts that load fast come together.
 test("copies a rank follow from the time that one takes", (t) => {
   const copies = [98, 74, 15, 400, 0].map((copyMilliseconds) =>
-    worthOfCopy.copiesPerRank({ ...SHAPE, copyMilliseconds }),
+    copyCost.maxCopiesPerRank({ ...SHAPE, copyMilliseconds }),
   );
   t.deepEqual(copies, [1, 2, 10, 1, 1]);
 });
@@ -71,10 +71,10 @@
 // With 63 ranks a copy takes little of one link and 441 requests gain by it: weighed as
 // in a group of twelve, almost none paid and the slowest rank stayed at twice the mean.
 test("a copy costs less the more requests gain by it", (t) => {
-  const small = worthOfCopy.costOfCopy(SHAPE, 12);
-  const large = worthOfCopy.costOfCopy({ ...SHAPE, copyMilliseconds: 14 }, 63);
+  const small = copyCost.costOfCopy(SHAPE, 12);
+  const large = copyCost.costOfCopy({ ...SHAPE, copyMilliseconds: 14 }, 63);
   t.true(small > 0.8 && small < 1.3);
   t.true(large < small / 4);
   t.true(large > 0);
-  t.is(worthOfCopy.costOfCopy({ ...SHAPE, copyMilliseconds: 0 }, 12), 1);
+  t.is(copyCost.costOfCopy({ ...SHAPE, copyMilliseconds: 0 }, 12), 1);
 });
--- a/packages/daemon/src/rank_group/count_plan_test.ts
+++ b/packages/daemon/src/rank_group/count_plan_test.ts
@@ -4,25 +4,25 @@
 const test = ava.default;
 
 /** Links of 5.6 and of 4.2 million bits a second. */
-const LINK = 700_000;
-const SLOW_LINK = 525_000;
+const LINK_BYTES_PER_SECOND = 700_000;
+const SLOW_LINK_BYTES_PER_SECOND = 525_000;
 
 function ranks(count: number): number[] {
   return Array.from({ length: count }, (_, rank) => rank);
 }
 
 test("all ranks of a small group tell ten times a second", (t) => {
-  for (const [size, numbersPerReading] of [
+  for (const [size, countsPerReading] of [
     [8, 384],
     [12, 288],
   ]) {
-    const linked = ranks(size);
+    const linkedRanks = ranks(size);
     const plan = countPlan.planCounts({
-      linked,
-      numbersPerReading,
-      linkBytesPerSecond: LINK,
+      linkedRanks,
+      countsPerReading,
+      linkBytesPerSecond: LINK_BYTES_PER_SECOND,
     });
-    t.is(plan.tellers.size, size);
+    t.is(plan.reporters.size, size);
     t.is(plan.periodMilliseconds, 100);
   }
 });
@@ -30,20 +30,20 @@
 // Told by all, the counts of a group of 63 fill the leader's link: it hears no state
 // in time, orders arrive late, and the map is never changed.
 test("of a large group a few ranks tell, as often as the link carries", (t) => {
-  for (const [size, numbersPerReading, linkBytesPerSecond] of [
-    [63, 2_016, LINK],
-    [96, 3_072, SLOW_LINK],
+  for (const [size, countsPerReading, linkBytesPerSecond] of [
+    [63, 2_016, LINK_BYTES_PER_SECOND],
+    [96, 3_072, SLOW_LINK_BYTES_PER_SECOND],
   ]) {
-    const linked = ranks(size);
+    const linkedRanks = ranks(size);
     const plan = countPlan.planCounts({
-      linked,
-      numbersPerReading,
+      linkedRanks,
+      countsPerReading,
       linkBytesPerSecond,
     });
-    t.is(plan.tellers.size, 8);
-    const readings = (plan.tellers.size * 1_000) / plan.periodMilliseconds;
+    t.is(plan.reporters.size, 8);
+    const readings = (plan.reporters.size * 1_000) / plan.periodMilliseconds;
     // A byte a number at least; three quarters of the link stay for the rest.
-    t.true(readings * numbersPerReading <= linkBytesPerSecond * 0.25);
+    t.true(readings * countsPerReading <= linkBytesPerSecond * 0.25);
     t.true(plan.periodMilliseconds <= 250);
   }
 });
@@ -51,27 +51,31 @@
 // Seen late, a shift leaves all streams paused for the slowest rank for as long. A
 // faster link carries counts more often, up to those that show anything new.
 test("a faster link carries counts more often", (t) => {
-  const periods = [SLOW_LINK, LINK, 4 * LINK].map(
+  const periods = [
+    SLOW_LINK_BYTES_PER_SECOND,
+    LINK_BYTES_PER_SECOND,
+    4 * LINK_BYTES_PER_SECOND,
+  ].map(
     (linkBytesPerSecond) =>
       countPlan.planCounts({
-        linked: ranks(63),
-        numbersPerReading: 2_016,
+        linkedRanks: ranks(63),
+        countsPerReading: 2_016,
         linkBytesPerSecond,
       }).periodMilliseconds,
   );
   t.true(periods[0] > periods[1]);
-  t.is(periods[2], countPlan.COUNT_MILLISECONDS);
+  t.is(periods[2], countPlan.COUNT_PERIOD_MILLISECONDS);
 });
 
 test("a rank that is not linked is not waited for", (t) => {
-  const linked = ranks(63).filter((rank) => rank > 4);
+  const linkedRanks = ranks(63).filter((rank) => rank > 4);
   const plan = countPlan.planCounts({
-    linked,
-    numbersPerReading: 2_016,
-    linkBytesPerSecond: LINK,
+    linkedRanks,
+    countsPerReading: 2_016,
+    linkBytesPerSecond: LINK_BYTES_PER_SECOND,
   });
-  t.true(plan.tellers.has(5));
-  t.is(plan.tellers.size, 8);
+  t.true(plan.reporters.has(5));
+  t.is(plan.reporters.size, 8);
 });
 
 // All streams stay late after all hosts lost power: the group is busy before anybody
@@ -79,9 +83,9 @@
 // engines' shape from the store over the same link, and never has it.
 test("before the engines are known no rank tells what is chosen", (t) => {
   const plan = countPlan.planCounts({
-    linked: ranks(63),
-    numbersPerReading: 0,
-    linkBytesPerSecond: LINK,
+    linkedRanks: ranks(63),
+    countsPerReading: 0,
+    linkBytesPerSecond: LINK_BYTES_PER_SECOND,
   });
-  t.is(plan.tellers.size, 0);
+  t.is(plan.reporters.size, 0);
 });
--- a/packages/daemon/src/rank_group/demand.ts
+++ b/packages/daemon/src/rank_group/demand.ts
@@ -1,4 +1,4 @@
-import * as choiceMeter from "./choice_meter.ts";
+import * as activationMeter from "./activation_meter.ts";
 
 /**
  * Half-life of demand as it is planned by, in milliseconds. A group runs some fifty
@@ -7,7 +7,7 @@
  */
 const HALF_LIFE_MILLISECONDS = 2_000;
 /** Age up to which the latest reading of a rank tells of now. */
-const LATEST_MILLISECONDS = 250;
+const MAX_READING_AGE_MILLISECONDS = 250;
 /**
  * Distance between the latest readings and the long view that means a shift of
  * demand, 0 to 1, and the same in times the usual distance. A shift of half of what is
@@ -15,19 +15,19 @@
  * the fewer streams there are: taken for a shift, it has a small group plan by a
  * quarter of a second's streams.
  */
-const LEAST_SHIFT_DISTANCE = 0.12;
-const SHIFT_IN_USUAL = 2;
+const MIN_SHIFT_DISTANCE = 0.12;
+const MIN_SHIFT_IN_USUAL_DISTANCES = 2;
 /** What chance gives before any distance was seen, and the weight of a new one. */
-const FIRST_USUAL_DISTANCE = 0.06;
-const NEWEST_WEIGHT = 0.08;
+const INITIAL_USUAL_DISTANCE = 0.06;
+const NEWEST_DISTANCE_WEIGHT = 0.08;
 /**
  * Time after a shift was seen in which the latest readings alone are gone by. The
  * first of them began before the shift and are half of the past: kept, they would have
  * the map made twice.
  */
-const PURGE_MILLISECONDS = 150;
+const LATEST_ONLY_MILLISECONDS = 150;
 /** Choices, by weight, below which a view says nothing. */
-const LEAST_WEIGHT = 2_000;
+const MIN_ACTIVATIONS = 2_000;
 
 /** What one rank counted since it was read before. */
 interface RankReading {
@@ -41,16 +41,16 @@
  * seconds, for all requests at once, and stays in between.
  */
 export class Demand {
-  readonly #settled: choiceMeter.ChoiceMeter;
-  readonly #latest = new Map<number, RankReading>();
+  readonly #longView: activationMeter.ActivationMeter;
+  readonly #latestReadings = new Map<number, RankReading>();
   #addedAt = -Infinity;
-  #shiftSeenAt = -Infinity;
+  #shiftDetectedAt = -Infinity;
   #distance = 0;
-  #usualDistance = FIRST_USUAL_DISTANCE;
+  #usualDistance = INITIAL_USUAL_DISTANCE;
   #shifts = 0;
 
   constructor(readonly expertsPerLayer: number) {
-    this.#settled = new choiceMeter.ChoiceMeter({
+    this.#longView = new activationMeter.ActivationMeter({
       halfLifeMilliseconds: HALF_LIFE_MILLISECONDS,
       expertsPerLayer,
     });
@@ -58,12 +58,12 @@
 
   /** Load by layer and expert, in any unit. */
   get load(): readonly number[][] {
-    return this.#settled.rates;
+    return this.#longView.decayedCounts;
   }
 
   /** Whether enough was counted to plan by. */
   get known(): boolean {
-    return this.#settled.weight >= LEAST_WEIGHT;
+    return this.#longView.weight >= MIN_ACTIVATIONS;
   }
 
   /** When anything was last added, by the clock of `add`. */
@@ -77,8 +77,8 @@
   }
 
   /** When a shift was last seen, by the clock of `add`. */
-  get shiftSeenAt(): number {
-    return this.#shiftSeenAt;
+  get shiftDetectedAt(): number {
+    return this.#shiftDetectedAt;
   }
 
   /** Shifts seen so far. */
@@ -90,41 +90,44 @@
   add(rank: number, chosen: number[], now: number): void {
     if (chosen.length === 0) return;
     this.#addedAt = now;
-    this.#settled.add(chosen, now);
-    this.#latest.set(rank, { chosen, at: now });
+    this.#longView.add(chosen, now);
+    this.#latestReadings.set(rank, { chosen, at: now });
   }
 
   /** Goes by the latest readings if demand has shifted. */
-  noticeShift(now: number): void {
+  detectShift(now: number): void {
     const latest = this.#latestMeter(now);
-    if (latest.weight < LEAST_WEIGHT) return;
-    this.#distance = choiceMeter.distanceOf(latest, this.#settled);
-    const sinceSeen = now - this.#shiftSeenAt;
+    if (latest.weight < MIN_ACTIVATIONS) return;
+    this.#distance = activationMeter.distanceOf(latest, this.#longView);
+    const sinceDetected = now - this.#shiftDetectedAt;
     if (this.#isShift(this.#distance)) {
-      if (sinceSeen > PURGE_MILLISECONDS) this.#shifts++;
-      this.#shiftSeenAt = now;
-    } else if (sinceSeen > PURGE_MILLISECONDS) {
+      if (sinceDetected > LATEST_ONLY_MILLISECONDS) this.#shifts++;
+      this.#shiftDetectedAt = now;
+    } else if (sinceDetected > LATEST_ONLY_MILLISECONDS) {
       return;
     }
-    this.#settled.copyFrom(latest);
+    this.#longView.copyFrom(latest);
   }
 
   /** Whether a distance is more than chance; what chance gives is learned. */
   #isShift(distance: number): boolean {
-    const least = Math.max(
-      LEAST_SHIFT_DISTANCE,
-      this.#usualDistance * SHIFT_IN_USUAL,
+    const minDistance = Math.max(
+      MIN_SHIFT_DISTANCE,
+      this.#usualDistance * MIN_SHIFT_IN_USUAL_DISTANCES,
     );
-    const ordinary = Math.min(distance, least);
-    this.#usualDistance += NEWEST_WEIGHT * (ordinary - this.#usualDistance);
-    return distance >= least;
+    const ordinary = Math.min(distance, minDistance);
+    this.#usualDistance +=
+      NEWEST_DISTANCE_WEIGHT * (ordinary - this.#usualDistance);
+    return distance >= minDistance;
   }
 
   /** The latest reading of each rank, all as of now. */
-  #latestMeter(now: number): choiceMeter.ChoiceMeter {
-    const meter = new choiceMeter.ChoiceMeter(this.#settled.parameters);
-    for (const { chosen, at } of this.#latest.values()) {
-      if (now - at <= LATEST_MILLISECONDS) meter.add(chosen, now);
+  #latestMeter(now: number): activationMeter.ActivationMeter {
+    const meter = new activationMeter.ActivationMeter(
+      this.#longView.parameters,
+    );
+    for (const { chosen, at } of this.#latestReadings.values()) {
+      if (now - at <= MAX_READING_AGE_MILLISECONDS) meter.add(chosen, now);
     }
     return meter;
   }
--- a/packages/daemon/src/rank_group/execute_order.ts
+++ b/packages/daemon/src/rank_group/execute_order.ts
@@ -3,9 +3,9 @@
 import * as rankEngine from "./rank_engine.ts";
 
 /** Time for which an order is repeated until its outcome is certain. */
-const INSIST_MILLISECONDS = 1_000;
+const ORDER_TIMEOUT_MILLISECONDS = 1_000;
 /** Pause before an engine that does not answer is asked again. */
-const PAUSE_MILLISECONDS = 15;
+const RETRY_PAUSE_MILLISECONDS = 15;
 
 /** How an order ended at an engine. */
 export interface OrderOutcome {
@@ -29,15 +29,15 @@
   epoch: number;
 }): Promise<OrderOutcome> {
   const { engine, order, token, epoch } = parameters;
-  const deadline = common.now() + INSIST_MILLISECONDS;
+  const deadline = common.now() + ORDER_TIMEOUT_MILLISECONDS;
   let status: wire.RankStatus | undefined;
-  let refusedAt = -1;
+  let refusedAtSequence = -1;
   let unanswered = false;
   let bornAt: number | undefined;
   while (common.now() < deadline) {
     const report = await engine.report();
     if (report.isErr()) {
-      await common.sleep(PAUSE_MILLISECONDS);
+      await common.sleep(RETRY_PAUSE_MILLISECONDS);
       continue;
     }
     const { sequence } = report.value;
@@ -53,11 +53,11 @@
     const obstacle = obstacleTo(order, status);
     if (obstacle) return refused(obstacle, status);
     // Refused although nothing was begun since: not for the number's sake.
-    if (refusedAt === sequence) {
+    if (refusedAtSequence === sequence) {
       // Loading goes on for a while before the state shows it: a copy without an
       // answer may have begun it, and then this one is refused as known.
-      const loads = order.kind === wire.RankOrderKind.Prepare;
-      if (loads && unanswered) return done(status);
+      const isPrepare = order.kind === wire.RankOrderKind.Prepare;
+      if (isPrepare && unanswered) return done(status);
       return refused("refused by engine", status);
     }
     const answer = await engine.order(order, { token, epoch, sequence });
@@ -69,7 +69,7 @@
         return { end, detail: "old token at engine", status };
       }
       case rankEngine.EngineAnswer.Refused:
-        refusedAt = sequence;
+        refusedAtSequence = sequence;
         break;
       case rankEngine.EngineAnswer.Unknown:
         unanswered = true;
--- a/packages/daemon/src/rank_group/execute_order_test.ts
+++ b/packages/daemon/src/rank_group/execute_order_test.ts
@@ -32,13 +32,13 @@
 // for the engine of before.
 test("an order is not given again to an engine that started anew", async (t) => {
   const reports = [reportOf(1_000, 3), reportOf(2_000, 3)];
-  let given = 0;
+  let givenOrders = 0;
   const engine: rankEngine.RankEngine = {
     report: async () => neverthrow.ok(reports.shift() ?? reportOf(2_000, 3)),
     chosen: async () => neverthrow.err("not asked"),
     lists: async () => neverthrow.err("not asked"),
     order: async () => {
-      given++;
+      givenOrders++;
       return rankEngine.EngineAnswer.Unknown;
     },
   };
@@ -49,7 +49,7 @@
     epoch: 1,
   });
   t.is(outcome.end, wire.RankOrderEnd.Refused);
-  t.is(given, 1);
+  t.is(givenOrders, 1);
 });
 
 // A whole switch is given up though all ranks load. The answer to an order is lost
--- a/packages/daemon/src/rank_group/group_leader.ts
+++ b/packages/daemon/src/rank_group/group_leader.ts
@@ -3,24 +3,24 @@
 import type * as wire from "@geraniumkeel/wire";
 import * as planPlacement from "../placement/plan_placement.ts";
 import * as demandModule from "./demand.ts";
-import type * as rankPort from "./rank_port.ts";
-import * as insistOrder from "./insist_order.ts";
-import * as leadSteps from "./lead_steps.ts";
+import type * as linkedRank from "./linked_rank.ts";
+import * as orderUntilFinal from "./order_until_final.ts";
+import * as iterationsAhead from "./iterations_ahead.ts";
 import * as mapDifference from "./map_difference.ts";
 import * as mapPlanner from "./map_planner.ts";
-import * as settleGroup from "./settle_group.ts";
+import * as recoverSwitch from "./recover_switch.ts";
 import * as switchGroup from "./switch_group.ts";
 
 /** How often it is looked whether demand has shifted, in milliseconds. */
-const LOOK_MILLISECONDS = 50;
+const POLL_MILLISECONDS = 50;
 /** Versions of maps are times, so that no two leaders use one for two maps. */
 const VERSIONS_PER_MILLISECOND = 64;
 
 /** What leading a group needs. */
 export interface GroupLeaderParameters {
   identity: wire.RankIdentity;
-  ports: rankPort.LinkedRank[];
-  own: rankPort.LinkedRank;
+  handles: linkedRank.LinkedRank[];
+  own: linkedRank.LinkedRank;
   shape: traffic.EngineShape;
   /** Longest pause between two events that is in time; 0 if none is told. */
   gapMilliseconds: number;
@@ -32,7 +32,7 @@
   /** Tells all ranks what is about to be held, and where. */
   announceHold: (holder: number, step: number) => void;
   /** Holds of this forming of the group that this process was told of. */
-  announced: () => readonly wire.HoldNotice[];
+  holdNotices: () => readonly wire.HoldNotice[];
   /** A map of an earlier order, if this process remembers it. */
   rememberedMap: (version: number) => wire.RankMap | undefined;
   logger: common.Logger;
@@ -46,11 +46,11 @@
   #lastVersion = 0;
   #switching = false;
   readonly #planner: mapPlanner.MapPlanner;
-  readonly #lead = new leadSteps.LeadSteps();
+  readonly #iterationsAhead = new iterationsAhead.IterationsAhead();
   /** When it was last looked for a shift of demand. */
-  #lookedAt = -Infinity;
+  #shiftCheckedAt = -Infinity;
   /** How settling ended last; waiting for a rank is told once. */
-  #lastSettlement = "";
+  #lastRecovery = "";
 
   constructor(readonly parameters: GroupLeaderParameters) {
     const { identity, shape, gapMilliseconds, demand } = parameters;
@@ -68,50 +68,52 @@
   }
 
   /** Takes what a rank counted, layer after layer. */
-  count(rank: number, chosen: number[]): void {
+  addCounts(rank: number, chosen: number[]): void {
     this.parameters.demand.add(rank, chosen, common.now());
   }
 
   /** Leads until it is no longer valid. */
   async lead(signal: AbortSignal): Promise<void> {
-    const { valid, ports } = this.parameters;
+    const { valid, handles } = this.parameters;
     while (!signal.aborted && valid()) {
-      this.#notePass();
-      const heard = ports.every((port) => port.fresh);
-      if (settleGroup.isHeld(ports)) await this.#settle();
-      else if (heard) await this.#improve();
-      else await this.#refreshSilent();
-      await common.sleep(LOOK_MILLISECONDS, signal);
+      this.#noteIteration();
+      const allFresh = handles.every((handle) => handle.fresh);
+      if (recoverSwitch.isAnyHeld(handles)) await this.#recoverSwitch();
+      else if (allFresh) await this.#improveMap();
+      else await this.#refreshUnreachable();
+      await common.sleep(POLL_MILLISECONDS, signal);
     }
   }
 
   /** Reads ranks whose process says nothing from their engines. */
-  async #refreshSilent(): Promise<void> {
-    const silent = this.parameters.ports.filter((port) => !port.fresh);
-    await Promise.all(silent.map((port) => port.refresh()));
+  async #refreshUnreachable(): Promise<void> {
+    const unreachable = this.parameters.handles.filter(
+      (handle) => !handle.fresh,
+    );
+    await Promise.all(unreachable.map((handle) => handle.refresh()));
   }
 
-  async #settle(): Promise<void> {
-    const { ports, valid, logger, identity, announced } = this.parameters;
-    const { kind, detail } = await settleGroup.settleGroup({
-      ports,
+  async #recoverSwitch(): Promise<void> {
+    const { handles, valid, logger, identity, holdNotices } = this.parameters;
+    const { kind, detail } = await recoverSwitch.recoverSwitch({
+      handles,
       valid,
-      pause: insistOrder.shortPause,
-      announced: announced(),
-      spare: () => this.#spareMap(),
+      pause: orderUntilFinal.shortPause,
+      holdNotices: holdNotices(),
+      fallback: () => this.#fallbackMap(),
     });
     this.#mapVersion = -1;
     const outcome = `${kind} ${detail}`;
-    const told = outcome === this.#lastSettlement;
-    this.#lastSettlement = outcome;
-    if (told || kind === settleGroup.SettlementKind.Nothing) return;
+    const isLogged = outcome === this.#lastRecovery;
+    this.#lastRecovery = outcome;
+    if (isLogged || kind === recoverSwitch.SwitchRecoveryKind.Nothing) return;
     const { group, epoch } = identity;
     const code = common.EventCode.MapSwitchRecovered;
     logger.event(code, { group, epoch, kind, detail });
   }
 
   /** The map in force, or else the last one prepared, under a new version. */
-  async #spareMap(): Promise<settleGroup.SpareMap | undefined> {
+  async #fallbackMap(): Promise<recoverSwitch.FallbackMap | undefined> {
     const { own, rememberedMap } = this.parameters;
     const { mapVersion = 0, preparedVersion = 0 } = own.status ?? {};
     const map =
@@ -121,16 +123,16 @@
     return map && { version: this.#nextVersion(), map };
   }
 
-  async #improve(): Promise<void> {
-    const { ports, shape, identity } = this.parameters;
-    const armed = ports.some(({ status }) => (status?.armedVersion ?? 0) > 0);
+  async #improveMap(): Promise<void> {
+    const { handles, shape, identity } = this.parameters;
+    const armed = handles.some(({ status }) => (status?.armedVersion ?? 0) > 0);
     if (armed || !this.#planner.isDue(common.now())) return;
     const map = await this.#currentMap();
     if (!map) return;
     const startedAt = common.now();
     const planned = this.#planner.plan(
       startedAt,
-      ports.flatMap(({ status }) => (status ? [status] : [])),
+      handles.flatMap(({ status }) => (status ? [status] : [])),
       mapDifference.placesOf(map, shape.expertsPerLayer),
     );
     if (!planned) return;
@@ -140,7 +142,7 @@
     const version = this.#nextVersion();
     const next = mapDifference.mapOf(planned.plan.places, identity.size);
     const outcome = await this.#switchTo(next, version, map);
-    this.#log(version, planned, before, outcome);
+    this.#logSwitch(version, planned, before, outcome);
     switch (outcome.kind) {
       case switchGroup.GroupSwitchKind.Done:
         this.#map = next;
@@ -161,35 +163,36 @@
     version: number,
     map: wire.RankMap,
   ): Promise<switchGroup.GroupSwitchOutcome> {
-    const { ports, own, shape, valid, demand, announceHold } = this.parameters;
+    const { handles, own, shape, valid, demand, announceHold } =
+      this.parameters;
     const { shifts } = demand;
     const holder = this.#chooseHolder();
     this.#switching = true;
     const outcome = await switchGroup.switchGroup({
-      ports,
+      handles,
       own,
       holder,
       version,
       map: next,
       base: { version: this.#mapVersion, map },
       copyMilliseconds: shape.copyMilliseconds,
-      leadSteps: () => this.#leadStepsNow(),
+      iterationsAhead: () => this.#iterationsAheadNow(),
       valid,
       outdated: () => this.#hasShiftedSince(shifts),
       announceHold: (step) => announceHold(holder.rank, step),
-      pause: insistOrder.shortPause,
+      pause: orderUntilFinal.shortPause,
     });
     this.#switching = false;
     if (own.status?.mapVersion === version) {
-      for (const port of ports) port.noteSwitched(version);
+      for (const handle of handles) handle.noteSwitched(version);
     }
     if (outcome.armMilliseconds > 0) {
-      this.#lead.noteArming(outcome.armMilliseconds);
+      this.#iterationsAhead.noteArming(outcome.armMilliseconds);
     }
     return outcome;
   }
 
-  #log(
+  #logSwitch(
     version: number,
     { plan, strain }: mapPlanner.PlannedMap,
     before: { distance: number; shifts: number; planMilliseconds: number },
@@ -219,40 +222,42 @@
     });
   }
 
-  #notePass(): void {
+  #noteIteration(): void {
     const { step = 0 } = this.parameters.own.status ?? {};
-    this.#lead.noteStep(step, common.now());
+    this.#iterationsAhead.noteIteration(step, common.now());
   }
 
   /** While a map was loaded passes have become longer, or shorter. */
-  #leadStepsNow(): number {
-    this.#notePass();
-    return this.#lead.steps;
+  #iterationsAheadNow(): number {
+    this.#noteIteration();
+    return this.#iterationsAhead.count;
   }
 
   /** Whether demand has shifted once more since so many shifts were seen. */
   #hasShiftedSince(shifts: number): boolean {
     const { demand } = this.parameters;
     const now = common.now();
-    if (now - this.#lookedAt >= LOOK_MILLISECONDS) {
-      this.#lookedAt = now;
-      demand.noticeShift(now);
+    if (now - this.#shiftCheckedAt >= POLL_MILLISECONDS) {
+      this.#shiftCheckedAt = now;
+      demand.detectShift(now);
     }
     return demand.shifts !== shifts;
   }
 
   /** The map in force, read from the ranks unless this leader made it. */
   async #currentMap(): Promise<wire.RankMap | undefined> {
-    const { ports } = this.parameters;
-    const versions = ports.map(({ status }) => status?.mapVersion);
+    const { handles } = this.parameters;
+    const versions = handles.map(({ status }) => status?.mapVersion);
     if (versions.some((version) => version !== versions[0])) return undefined;
     if (this.#mapVersion === versions[0]) return this.#map;
-    const lists = await Promise.all(ports.map((port) => port.lists()));
-    const same = lists.every((one) => one?.version === versions[0]);
-    if (!same) return undefined;
-    const layers = lists[0]?.experts.length ?? 0;
+    const rankLists = await Promise.all(
+      handles.map((handle) => handle.lists()),
+    );
+    const sameVersion = rankLists.every((one) => one?.version === versions[0]);
+    if (!sameVersion) return undefined;
+    const layers = rankLists[0]?.experts.length ?? 0;
     this.#map = Array.from({ length: layers }, (_, layer) =>
-      lists.map((one) => one?.experts[layer] ?? []),
+      rankLists.map((one) => one?.experts[layer] ?? []),
     );
     this.#mapVersion = versions[0] ?? -1;
     return this.#map;
@@ -262,11 +267,14 @@
    * The rank at which passes are held: one whose process is there, as it releases
    * the pass for nothing, and takes over at once if this host freezes meanwhile.
    */
-  #chooseHolder(): rankPort.LinkedRank {
-    const { ports, own } = this.parameters;
-    const place = ports.indexOf(own);
-    const others = [...ports.slice(place + 1), ...ports.slice(0, place)];
-    return others.find((port) => port.linked) ?? others.at(0) ?? own;
+  #chooseHolder(): linkedRank.LinkedRank {
+    const { handles, own } = this.parameters;
+    const ownIndex = handles.indexOf(own);
+    const others = [
+      ...handles.slice(ownIndex + 1),
+      ...handles.slice(0, ownIndex),
+    ];
+    return others.find((handle) => handle.linked) ?? others.at(0) ?? own;
   }
 
   /**
@@ -275,17 +283,17 @@
    * and take it for their own: ranks would switch to two maps of one version.
    */
   #nextVersion(): number {
-    const { ports, identity } = this.parameters;
-    const seen = ports.flatMap(({ status }) =>
+    const { handles, identity } = this.parameters;
+    const seenVersions = handles.flatMap(({ status }) =>
       status ? [status.mapVersion, status.preparedVersion] : [],
     );
-    const least = Math.max(this.#lastVersion, ...seen) + 1;
+    const minVersion = Math.max(this.#lastVersion, ...seenVersions) + 1;
     const ofNow = Math.floor(Date.now()) * VERSIONS_PER_MILLISECOND;
-    const from = Math.max(least, ofNow);
-    const offset = identity.rank - (from % VERSIONS_PER_MILLISECOND);
-    const aligned = from + offset;
+    const lowest = Math.max(minVersion, ofNow);
+    const offset = identity.rank - (lowest % VERSIONS_PER_MILLISECOND);
+    const aligned = lowest + offset;
     this.#lastVersion =
-      aligned < from ? aligned + VERSIONS_PER_MILLISECOND : aligned;
+      aligned < lowest ? aligned + VERSIONS_PER_MILLISECOND : aligned;
     return this.#lastVersion;
   }
 }
--- a/packages/daemon/src/rank_group/leader_follower.ts
+++ b/packages/daemon/src/rank_group/leader_follower.ts
@@ -1,12 +1,12 @@
 import * as common from "@geraniumkeel/common";
 import * as wire from "@geraniumkeel/wire";
-import * as beatRecord from "./beat_record.ts";
+import * as heartbeatRecord from "./heartbeat_record.ts";
 import * as mapDifference from "./map_difference.ts";
 import type * as rankEngine from "./rank_engine.ts";
 import type * as rankMember from "./rank_member.ts";
 
 /** Announced holds that are remembered: those of several switches. */
-const KEPT_NOTICES = 16;
+const MAX_HOLD_NOTICES = 16;
 
 /** What following a leader needs. */
 export interface LeaderFollowerParameters {
@@ -25,7 +25,7 @@
  */
 export class LeaderFollower {
   /** When a leader was last heard. */
-  heardAt = common.now();
+  lastHeartbeatAt = common.now();
   /**
    * What the last leader knew. A leader that dies may leave a pass held; were its
    * successor to ask the store first, the group would stand still for as long as
@@ -33,9 +33,9 @@
    */
   knowledge: wire.GroupKnowledge | undefined;
   #link: wire.Link | undefined;
-  readonly #told = new beatRecord.BeatRecord();
+  readonly #heartbeatRecord = new heartbeatRecord.HeartbeatRecord();
   /** Holds that leaders announced in this forming of the group, newest last. */
-  #announced: wire.HoldNotice[] = [];
+  #holdNotices: wire.HoldNotice[] = [];
 
   constructor(readonly parameters: LeaderFollowerParameters) {}
 
@@ -45,13 +45,13 @@
   }
 
   /** Follows nobody, as this process leads. */
-  forget(): void {
+  stopFollowing(): void {
     this.#link = undefined;
   }
 
   /** Holds of one forming of the group that were announced. */
-  announcedIn(epoch: number): wire.HoldNotice[] {
-    return this.#announced.filter((known) => known.epoch === epoch);
+  holdNoticesOf(epoch: number): wire.HoldNotice[] {
+    return this.#holdNotices.filter((notice) => notice.epoch === epoch);
   }
 
   /** The first message on each link. */
@@ -69,20 +69,20 @@
       switch (message.kind) {
         case wire.MessageKind.RankHello:
           break;
-        case wire.MessageKind.LeaderBeat:
-          this.#follow(link, message);
+        case wire.MessageKind.LeaderHeartbeat:
+          this.#acceptHeartbeat(link, message);
           break;
         case wire.MessageKind.RankCommand:
-          void this.#obey(link, message);
+          void this.#executeCommand(link, message);
           break;
         case wire.MessageKind.RankListsRequest:
-          void this.#tellLists(link, message.question);
+          void this.#sendLists(link, message.question);
           break;
         case wire.MessageKind.GroupKnowledge:
           this.knowledge = message;
           break;
         case wire.MessageKind.HoldNotice:
-          this.noteHold(message);
+          this.recordHoldNotice(message);
           break;
         default:
           link.close(wire.LinkEnd.Unreadable);
@@ -91,58 +91,68 @@
   }
 
   /** Tells the leader what the engine was read to say, if it is news. */
-  tell(): void {
+  report(): void {
     const { member } = this.parameters;
     const { identity, status, token } = member;
     const link = this.#link;
     if (!identity || !status || !link || link.end !== undefined) return;
-    const chosen = member.takeChosen();
-    const news = this.#told.take(status, common.now());
-    if (!news && chosen.length === 0) return;
-    const kind = wire.MessageKind.RankBeat;
+    const chosen = member.takeCounts();
+    const isDue = this.#heartbeatRecord.recordIfDue(status, common.now());
+    if (!isDue && chosen.length === 0) return;
+    const kind = wire.MessageKind.RankHeartbeat;
     link.send({ kind, token, identity, status, chosen });
   }
 
   /** Notes which pass is about to be held, and where. */
-  noteHold(notice: wire.HoldNotice): void {
+  recordHoldNotice(notice: wire.HoldNotice): void {
     const { member } = this.parameters;
-    const ofEpoch = this.announcedIn(notice.epoch);
-    this.#announced = [...ofEpoch, notice].slice(-KEPT_NOTICES);
-    if (notice.holder === member.identity?.rank) member.lookClosely();
+    const ofSameEpoch = this.holdNoticesOf(notice.epoch);
+    this.#holdNotices = [...ofSameEpoch, notice].slice(-MAX_HOLD_NOTICES);
+    if (notice.holder === member.identity?.rank) member.readClosely();
   }
 
-  #follow(link: wire.Link, beat: wire.LeaderBeat): void {
+  #acceptHeartbeat(link: wire.Link, heartbeat: wire.LeaderHeartbeat): void {
     const { member, ownToken, onNewerLeader } = this.parameters;
-    if (beat.group !== member.identity?.group) return;
+    if (heartbeat.group !== member.identity?.group) return;
     const own = ownToken();
     // A leader is linked with itself too.
-    if (beat.token === own) return;
-    if (beat.token < Math.max(own, member.token)) {
+    if (heartbeat.token === own) return;
+    if (heartbeat.token < Math.max(own, member.token)) {
       // Tells an old leader, by the token, that there is a newer one.
       link.send(this.hello());
       return;
     }
     if (own >= 0) onNewerLeader();
-    member.heed(beat.token);
-    this.heardAt = common.now();
+    member.acceptToken(heartbeat.token);
+    this.lastHeartbeatAt = common.now();
     if (this.#link !== link) {
-      this.#told.forget();
+      this.#heartbeatRecord.reset();
       // A new leader knows nothing of this rank, and a pass may be held.
-      member.lookClosely();
+      member.readClosely();
     }
     this.#link = link;
-    member.countEvery(beat.countMilliseconds);
+    member.setCountPeriod(heartbeat.countMilliseconds);
   }
 
-  async #obey(link: wire.Link, command: wire.RankCommand): Promise<void> {
+  async #executeCommand(
+    link: wire.Link,
+    command: wire.RankCommand,
+  ): Promise<void> {
     const { member } = this.parameters;
     const { question, token, epoch } = command;
     const kind = wire.MessageKind.RankReply;
-    const order = this.#wholeOrder(command.order);
+    const order = this.#fullOrder(command.order);
     if (!order) {
       const end = wire.RankOrderEnd.BaseUnknown;
-      const { status, token: known } = member;
-      link.send({ kind, question, token: known, end, detail: "", status });
+      const { status, token: highestToken } = member;
+      link.send({
+        kind,
+        question,
+        token: highestToken,
+        end,
+        detail: "",
+        status,
+      });
       return;
     }
     const outcome = await member.execute({ token, epoch, order });
@@ -150,14 +160,14 @@
   }
 
   /** An order as the engine takes it; `undefined` if its map cannot be made. */
-  #wholeOrder(order: wire.SentOrder): wire.RankOrder | undefined {
+  #fullOrder(order: wire.SentOrder): wire.RankOrder | undefined {
     if (order.kind !== wire.RankOrderKind.PrepareChanges) return order;
     const { version, base, exchanges, copyMilliseconds } = order;
-    const known = this.parameters.member.mapOf(base);
+    const baseMap = this.parameters.member.mapOf(base);
     const unpacked = wire.unpackDocument<wire.RankMapExchange[]>(exchanges);
     // Sent whole, the map reaches this rank all the same.
-    if (!known || unpacked.isErr()) return undefined;
-    const map = mapDifference.withExchanges(known, unpacked.value);
+    if (!baseMap || unpacked.isErr()) return undefined;
+    const map = mapDifference.withExchanges(baseMap, unpacked.value);
     return {
       kind: wire.RankOrderKind.Prepare,
       version,
@@ -166,7 +176,7 @@
     };
   }
 
-  async #tellLists(link: wire.Link, question: number): Promise<void> {
+  async #sendLists(link: wire.Link, question: number): Promise<void> {
     const read = await this.parameters.engine.lists();
     const lists = read.isOk() ? read.value : undefined;
     link.send({ kind: wire.MessageKind.RankListsAnswer, question, lists });
--- a/packages/daemon/src/rank_group/leader_follower_test.ts
+++ b/packages/daemon/src/rank_group/leader_follower_test.ts
@@ -6,7 +6,7 @@
 import * as rankEngine from "./rank_engine.ts";
 import * as rankFixture from "./rank_fixture.ts";
 import * as rankMember from "./rank_member.ts";
-import * as rankPort from "./rank_port.ts";
+import * as linkedRank from "./linked_rank.ts";
 
 const test = ava.default;
 
@@ -54,7 +54,7 @@
 
 /** A leader's port and the process beside its rank, with a link between them. */
 function createPair(engine: rankEngine.RankEngine): {
-  port: rankPort.LinkedRank;
+  handle: linkedRank.LinkedRank;
   member: rankMember.RankMember;
   sent: wire.Message[];
   close: () => void;
@@ -67,7 +67,7 @@
     ownToken: () => -1,
     onNewerLeader: () => {},
   });
-  const port = new rankPort.LinkedRank(1, engine, () => ({
+  const handle = new linkedRank.LinkedRank(1, engine, () => ({
     token: TOKEN,
     epoch: EPOCH,
   }));
@@ -87,12 +87,12 @@
     messages: () => inbox[Symbol.asyncIterator](),
     send: (message: wire.Message) => {
       if (message.kind !== wire.MessageKind.RankReply) return;
-      port.receive(message, leaderSide);
+      handle.receive(message, leaderSide);
     },
   } as unknown as wire.Link;
-  port.attach(leaderSide);
+  handle.attach(leaderSide);
   void follower.serve(rankSide, new AbortController().signal);
-  return { port, member, sent, close: () => inbox.close() };
+  return { handle, member, sent, close: () => inbox.close() };
 }
 
 /** The order to prepare the next map, with the cells that differ from the base. */
@@ -122,13 +122,13 @@
 
 test("a rank that knows the base makes the whole map of its changes", async (t) => {
   const { engine, prepared } = createEngine(BASE);
-  const { port, member, sent, close } = createPair(engine);
+  const { handle, member, sent, close } = createPair(engine);
   t.teardown(close);
   const kind = wire.RankOrderKind.Prepare;
   const order = { kind, version: BASE, map: MAP } as const;
   await member.execute({ token: TOKEN, epoch: EPOCH, order });
-  await port.refresh();
-  const reply = await port.order(prepareNext());
+  await handle.refresh();
+  const reply = await handle.order(prepareNext());
   t.is(reply.end, wire.RankOrderEnd.Done);
   t.deepEqual(kindsOf(sent), ["prepare-changes"]);
   t.deepEqual(prepared.at(-1)?.map, NEXT);
@@ -139,10 +139,10 @@
 // than the others have, so it asks for the whole.
 test("a rank that does not know the base is sent the map whole", async (t) => {
   const { engine, prepared } = createEngine(BASE);
-  const { port, sent, close } = createPair(engine);
+  const { handle, sent, close } = createPair(engine);
   t.teardown(close);
-  await port.refresh();
-  const reply = await port.order(prepareNext());
+  await handle.refresh();
+  const reply = await handle.order(prepareNext());
   t.is(reply.end, wire.RankOrderEnd.Done);
   t.deepEqual(kindsOf(sent), ["prepare-changes", "prepare"]);
   t.deepEqual(
@@ -153,10 +153,10 @@
 
 test("a rank with another map in force is sent the map whole at once", async (t) => {
   const { engine, prepared } = createEngine(BASE - 1);
-  const { port, sent, close } = createPair(engine);
+  const { handle, sent, close } = createPair(engine);
   t.teardown(close);
-  await port.refresh();
-  await port.order(prepareNext());
+  await handle.refresh();
+  await handle.order(prepareNext());
   t.deepEqual(kindsOf(sent), ["prepare"]);
   t.deepEqual(prepared[0].map, NEXT);
 });
--- a/packages/daemon/src/rank_group/rank_port.ts
+++ b/packages/daemon/src/rank_group/linked_rank.ts
@@ -2,12 +2,12 @@
 import * as wire from "@geraniumkeel/wire";
 import * as executeOrder from "./execute_order.ts";
 import type * as rankEngine from "./rank_engine.ts";
-import type * as groupRank from "./group_rank.ts";
+import type * as rankHandle from "./rank_handle.ts";
 
 /** Age of a beat up to which it tells a rank's state, in milliseconds. */
-const FRESH_MILLISECONDS = 900;
+const MAX_STATUS_AGE_MILLISECONDS = 900;
 /** Time for the process beside a rank to answer, in milliseconds. */
-const ANSWER_MILLISECONDS = 400;
+const ANSWER_TIMEOUT_MILLISECONDS = 400;
 
 /** Who gives orders, and in which forming of the group. */
 export interface Leadership {
@@ -20,15 +20,15 @@
  * whose orders cost nothing, or straight at its engine while that process is
  * away, so that a held group never waits for a process to come back.
  */
-export class LinkedRank implements groupRank.GroupRank {
+export class LinkedRank implements rankHandle.RankHandle {
   #status: wire.RankStatus | undefined;
-  #heardAt = -Infinity;
+  #statusAt = -Infinity;
   /** The last switch that the rank is known to have made, and in which forming. */
-  #switched = { version: 0, epoch: -1 };
+  #lastSwitch = { version: 0, epoch: -1 };
   #link: wire.Link | undefined;
   #question = 0;
-  readonly #waiting = new Map<number, (reply: wire.RankReply) => void>();
-  readonly #waitingLists = new Map<
+  readonly #pendingReplies = new Map<number, (reply: wire.RankReply) => void>();
+  readonly #pendingLists = new Map<
     number,
     (lists: wire.RankLists | undefined) => void
   >();
@@ -46,7 +46,7 @@
 
   /** Whether the state was heard lately. */
   get fresh(): boolean {
-    return common.now() - this.#heardAt < FRESH_MILLISECONDS;
+    return common.now() - this.#statusAt < MAX_STATUS_AGE_MILLISECONDS;
   }
 
   /** Whether the process beside the rank is linked. */
@@ -60,9 +60,9 @@
   }
 
   /** Notes the rank's state. */
-  hear(status: wire.RankStatus): void {
-    this.#status = this.#asOfNow(status);
-    this.#heardAt = common.now();
+  updateStatus(status: wire.RankStatus): void {
+    this.#status = this.#withLastSwitch(status);
+    this.#statusAt = common.now();
   }
 
   /**
@@ -71,13 +71,13 @@
    */
   noteSwitched(version: number): void {
     const { epoch = -1 } = this.#status ?? {};
-    this.#switched = { version, epoch };
-    if (this.#status) this.#status = this.#asOfNow(this.#status);
+    this.#lastSwitch = { version, epoch };
+    if (this.#status) this.#status = this.#withLastSwitch(this.#status);
   }
 
   /** A state that was read before the last switch is of the past. */
-  #asOfNow(status: wire.RankStatus): wire.RankStatus {
-    const { version, epoch } = this.#switched;
+  #withLastSwitch(status: wire.RankStatus): wire.RankStatus {
+    const { version, epoch } = this.#lastSwitch;
     const isPast = status.epoch === epoch && status.mapVersion < version;
     if (!isPast) return status;
     return { ...status, mapVersion: version, armedVersion: 0, armedStep: 0 };
@@ -94,17 +94,17 @@
         // Noted here, in the order of arrival, and not by who waits for the reply: that
         // one goes on later, and would put an older state over that of a newer beat.
         // The leader then waits for a state that it has had, until the next beat.
-        if (message.status) this.hear(message.status);
-        return this.#waiting.get(message.question)?.(message);
+        if (message.status) this.updateStatus(message.status);
+        return this.#pendingReplies.get(message.question)?.(message);
       case wire.MessageKind.RankListsAnswer:
-        return this.#waitingLists.get(message.question)?.(message.lists);
+        return this.#pendingLists.get(message.question)?.(message.lists);
     }
   }
 
   /** Reads the state from the engine itself; whether it answered. */
   async refresh(): Promise<boolean> {
     const report = await this.engine.report();
-    if (report.isOk()) this.hear(report.value.status);
+    if (report.isOk()) this.updateStatus(report.value.status);
     return report.isOk();
   }
 
@@ -114,11 +114,14 @@
     if (link && this.linked) {
       const question = ++this.#question;
       const answer = new Promise<wire.RankLists | undefined>((resolve) =>
-        this.#waitingLists.set(question, resolve),
+        this.#pendingLists.set(question, resolve),
       );
       link.send({ kind: wire.MessageKind.RankListsRequest, question });
-      const lists = await common.withTimeout(answer, ANSWER_MILLISECONDS);
-      this.#waitingLists.delete(question);
+      const lists = await common.withTimeout(
+        answer,
+        ANSWER_TIMEOUT_MILLISECONDS,
+      );
+      this.#pendingLists.delete(question);
       if (lists) return lists;
     }
     const read = await this.engine.lists();
@@ -129,19 +132,21 @@
   async order(order: wire.RankOrder): Promise<wire.RankReply> {
     const link = this.#link;
     const reply =
-      link && this.linked ? await this.#askShortly(link, order) : undefined;
-    return reply ?? this.orderFromHere(order);
+      link && this.linked
+        ? await this.#sendPreferringChanges(link, order)
+        : undefined;
+    return reply ?? this.orderDirectly(order);
   }
 
   /** Gives an order to the engine itself and tells how it ended. */
-  async orderFromHere(order: wire.RankOrder): Promise<wire.RankReply> {
+  async orderDirectly(order: wire.RankOrder): Promise<wire.RankReply> {
     const leadership = this.leadership();
     const outcome = await executeOrder.executeOrder({
       engine: this.engine,
       order,
       ...leadership,
     });
-    if (outcome.status) this.hear(outcome.status);
+    if (outcome.status) this.updateStatus(outcome.status);
     const kind = wire.MessageKind.RankReply;
     return { kind, question: 0, token: leadership.token, ...outcome };
   }
@@ -150,32 +155,33 @@
    * Sends a map as changes if it can be. Sent whole to each rank of a large group it
    * fills a slow host's link, and the leader's beats wait behind it.
    */
-  async #askShortly(
+  async #sendPreferringChanges(
     link: wire.Link,
     order: wire.RankOrder,
   ): Promise<wire.RankReply | undefined> {
     if (order.kind !== wire.RankOrderKind.Prepare) {
-      return this.#ask(link, order);
+      return this.#send(link, order);
     }
-    const { changes, ...whole } = order;
-    const known = changes?.base === this.#status?.mapVersion;
-    const reply = changes && known ? await this.#ask(link, changes) : undefined;
-    const settled = reply && reply.end !== wire.RankOrderEnd.BaseUnknown;
-    return settled ? reply : this.#ask(link, whole);
+    const { changes, ...fullOrder } = order;
+    const knowsBase = changes?.base === this.#status?.mapVersion;
+    const reply =
+      changes && knowsBase ? await this.#send(link, changes) : undefined;
+    const isFinal = reply && reply.end !== wire.RankOrderEnd.BaseUnknown;
+    return isFinal ? reply : this.#send(link, fullOrder);
   }
 
-  async #ask(
+  async #send(
     link: wire.Link,
     order: wire.SentOrder,
   ): Promise<wire.RankReply | undefined> {
     const question = ++this.#question;
     const answer = new Promise<wire.RankReply>((resolve) =>
-      this.#waiting.set(question, resolve),
+      this.#pendingReplies.set(question, resolve),
     );
     const kind = wire.MessageKind.RankCommand;
     link.send({ kind, question, ...this.leadership(), order });
-    const reply = await common.withTimeout(answer, ANSWER_MILLISECONDS);
-    this.#waiting.delete(question);
+    const reply = await common.withTimeout(answer, ANSWER_TIMEOUT_MILLISECONDS);
+    this.#pendingReplies.delete(question);
     return reply;
   }
 }
--- /dev/null
+++ b/packages/daemon/src/rank_group/linked_rank_test.ts
@@ -0,0 +1,103 @@
+import * as ava from "ava";
+import * as wire from "@geraniumkeel/wire";
+import type * as rankEngine from "./rank_engine.ts";
+import * as rankFixture from "./rank_fixture.ts";
+import * as linkedRank from "./linked_rank.ts";
+
+const test = ava.default;
+
+const VERSION = 5;
+
+/** A link that answers a command with a state of before it, and at once with a newer. */
+function createLink(linkedHandle: linkedRank.LinkedRank): wire.Link {
+  const link = {
+    end: undefined,
+    send: (command: wire.RankCommand) => {
+      const kind = wire.MessageKind.RankReply as const;
+      const end = wire.RankOrderEnd.Done;
+      const status = rankFixture.createStatus({ preparedVersion: 0 });
+      const { question } = command;
+      linkedHandle.receive(
+        { kind, question, end, detail: "", token: 1, status },
+        link,
+      );
+      linkedHandle.updateStatus(
+        rankFixture.createStatus({ preparedVersion: VERSION }),
+      );
+    },
+  } as unknown as wire.Link;
+  return link;
+}
+
+// Streams wait for the slowest rank a quarter of a second longer with most switches: a
+// rank tells that it has loaded the map right after it took the order. The leader has
+// both messages at once, and the state in the reply, which is older, stays.
+test("a state that came after a reply is not put back by it", async (t) => {
+  const linkedHandle = new linkedRank.LinkedRank(
+    1,
+    {} as rankEngine.RankEngine,
+    () => ({
+      token: 1,
+      epoch: 1,
+    }),
+  );
+  linkedHandle.attach(createLink(linkedHandle));
+  const kind = wire.RankOrderKind.Prepare as const;
+  const reply = await linkedHandle.order({ kind, version: VERSION, map: [] });
+  t.is(reply.end, wire.RankOrderEnd.Done);
+  t.is(linkedHandle.status?.preparedVersion, VERSION);
+});
+
+test("a reply tells the state where nothing newer came", async (t) => {
+  const linkedHandle = new linkedRank.LinkedRank(
+    1,
+    {} as rankEngine.RankEngine,
+    () => ({
+      token: 1,
+      epoch: 1,
+    }),
+  );
+  const status = rankFixture.createStatus({ step: 40 });
+  const link = {
+    end: undefined,
+    send: ({ question }: wire.RankCommand) => {
+      const kind = wire.MessageKind.RankReply as const;
+      const end = wire.RankOrderEnd.Done;
+      linkedHandle.receive(
+        { kind, question, end, detail: "", token: 1, status },
+        link,
+      );
+    },
+  } as unknown as wire.Link;
+  linkedHandle.attach(link);
+  await linkedHandle.order({ kind: wire.RankOrderKind.Release, step: 41 });
+  t.is(linkedHandle.status?.step, 40);
+  t.true(linkedHandle.fresh);
+});
+
+// Its leader would take the group for one with two maps, and make no next one, until the
+// process beside the rank has read its engine again.
+test("a state that was read before a switch does not take it back", (t) => {
+  const linkedHandle = new linkedRank.LinkedRank(
+    1,
+    {} as rankEngine.RankEngine,
+    () => ({
+      token: 1,
+      epoch: 1,
+    }),
+  );
+  linkedHandle.updateStatus(
+    rankFixture.createStatus({ mapVersion: 4, armedVersion: 5 }),
+  );
+  linkedHandle.noteSwitched(5);
+  t.is(linkedHandle.status?.mapVersion, 5);
+  linkedHandle.updateStatus(
+    rankFixture.createStatus({ mapVersion: 4, armedVersion: 5 }),
+  );
+  t.is(linkedHandle.status?.mapVersion, 5);
+  t.is(linkedHandle.status?.armedVersion, 0);
+  linkedHandle.updateStatus(
+    rankFixture.createStatus({ epoch: 2, mapVersion: 0 }),
+  );
+  t.is(linkedHandle.status?.mapVersion, 0);
+});
--- a/packages/daemon/src/rank_group/map_difference.ts
+++ b/packages/daemon/src/rank_group/map_difference.ts
@@ -10,8 +10,8 @@
       const before = base[layer]?.[rank] ?? [];
       const removed = before.filter((expert) => !experts.includes(expert));
       const added = experts.filter((expert) => !before.includes(expert));
-      const same = removed.length + added.length === 0;
-      return same ? [] : [[layer, rank, removed, added]];
+      const isUnchanged = removed.length + added.length === 0;
+      return isUnchanged ? [] : [[layer, rank, removed, added]];
     }),
   );
 }
@@ -27,7 +27,9 @@
 ): wire.RankMap {
   const next = base.map((ranks) => ranks.map((experts) => [...experts]));
   for (const [layer, rank, removed, added] of exchanges) {
-    const kept = next[layer][rank].filter((one) => !removed.includes(one));
+    const kept = next[layer][rank].filter(
+      (expert) => !removed.includes(expert),
+    );
     next[layer][rank] = [...kept, ...added];
   }
   for (const experts of next.flat()) experts.sort((a, b) => a - b);
--- a/packages/daemon/src/rank_group/map_planner.ts
+++ b/packages/daemon/src/rank_group/map_planner.ts
@@ -2,32 +2,32 @@
 import type * as wire from "@geraniumkeel/wire";
 import * as planQuick from "../placement/plan_quick.ts";
 import type * as demandModule from "./demand.ts";
-import * as worthOfCopy from "./worth_of_copy.ts";
+import * as copyCost from "./copy_cost.ts";
 
 /**
  * How often it is weighed whether a new map pays while demand stays as it is. A plan
  * costs the small host one to two milliseconds of its processor.
  */
-const CALM_PLAN_MILLISECONDS = 200;
+const PLAN_INTERVAL_MILLISECONDS = 200;
 /** Time after a shift in which it is weighed at every look. */
-const SHIFTING_MILLISECONDS = 1_000;
+const AFTER_SHIFT_MILLISECONDS = 1_000;
 /**
  * Copies that a switch must be worth besides its own. Orders and readings of all
  * ranks cost as much, and a switch under way holds up the answer to a shift.
  */
-const COPIES_PER_SWITCH = 3;
+const SWITCH_COST_IN_COPIES = 3;
 /**
  * Part of the slowest ranks' time that a switch must save, however little its copies
  * cost: orders go to all ranks, passes take longer meanwhile, and the next shift finds
  * the group at it.
  */
-const LEAST_SWITCH_SHARE = 0.1;
+const MIN_SWITCH_SAVING = 0.1;
 /**
  * Part of the slowest ranks' time that any copy must save. Where copies are nearly
  * free, the many that gain next to nothing make the order longer, and every rank waits
  * for the rank that loads most.
  */
-const LEAST_COPY_SHARE = 0.01;
+const MIN_COPY_SAVING = 0.01;
 /** Time in which the worst skew that was seen is forgotten by half. */
 const SKEW_HALF_LIFE_MILLISECONDS = 10_000;
 
@@ -62,9 +62,9 @@
   isDue(now: number): boolean {
     const { demand } = this.parameters;
     if (!demand.known) return false;
-    demand.noticeShift(now);
-    if (now - demand.shiftSeenAt < SHIFTING_MILLISECONDS) return true;
-    return now - this.#plannedAt >= CALM_PLAN_MILLISECONDS;
+    demand.detectShift(now);
+    if (now - demand.shiftDetectedAt < AFTER_SHIFT_MILLISECONDS) return true;
+    return now - this.#plannedAt >= PLAN_INTERVAL_MILLISECONDS;
   }
 
   /** The next map, or `undefined` if none pays. `places`: ranks of each expert. */
@@ -75,33 +75,33 @@
   ): PlannedMap | undefined {
     const { ranks, shape, gapMilliseconds, demand } = this.parameters;
     this.#plannedAt = now;
-    const strain = worthOfCopy.strainOf({
+    const strain = copyCost.strainOf({
       shape,
       statuses,
       skewAfterShift: this.#skewAfterShift(now),
       gapMilliseconds,
     });
-    const cost = worthOfCopy.costOfCopy(shape, ranks);
-    const leastGainOfCopy = Math.max(
-      LEAST_COPY_SHARE,
-      cost * worthOfCopy.leastGainOfCopy(strain),
+    const cost = copyCost.costOfCopy(shape, ranks);
+    const minSavingOfCopy = Math.max(
+      MIN_COPY_SAVING,
+      cost * copyCost.minSavingOfCopy(strain),
     );
     const plan = planQuick.planQuick({
       ranks,
       slots: shape.expertSlots,
       load: demand.load,
       places,
-      leastGainOfCopy,
-      copiesPerRank: worthOfCopy.copiesPerRank(shape),
+      leastGainOfCopy: minSavingOfCopy,
+      copiesPerRank: copyCost.maxCopiesPerRank(shape),
       copiesPerRankAndLayer: shape.spareSlots,
     });
     this.#noteSkew(plan.skewBefore, now);
-    const share = 1 - plan.skewAfter / plan.skewBefore;
-    const leastShare = Math.max(
-      LEAST_SWITCH_SHARE,
-      COPIES_PER_SWITCH * leastGainOfCopy,
+    const saving = 1 - plan.skewAfter / plan.skewBefore;
+    const minSaving = Math.max(
+      MIN_SWITCH_SAVING,
+      SWITCH_COST_IN_COPIES * minSavingOfCopy,
     );
-    if (plan.copies === 0 || share < leastShare) return undefined;
+    if (plan.copies === 0 || saving < minSaving) return undefined;
     return { plan, strain };
   }
 
--- a/packages/daemon/src/rank_group/map_planner_test.ts
+++ b/packages/daemon/src/rank_group/map_planner_test.ts
@@ -25,9 +25,9 @@
 }
 
 /** Choices of one rank of which most fall on a few experts, from `liked` on. */
-function counted(random: common.Random, liked: number): number[] {
+function counted(random: common.Random, firstPopular: number): number[] {
   return Array.from({ length: SHAPE.layers * EXPERTS }, (_, index) => {
-    const place = (index - liked + EXPERTS) % EXPERTS;
+    const place = (index - firstPopular + EXPERTS) % EXPERTS;
     const mean = 2_000 * (place + 1) ** -1.3;
     return Math.round(mean * random.between(0.9, 1.1));
   });
@@ -50,11 +50,11 @@
 function feed(
   demand: demandModule.Demand,
   random: common.Random,
-  liked: number,
+  firstPopular: number,
   now: number,
 ): void {
   for (let rank = 0; rank < RANKS; rank++) {
-    demand.add(rank, counted(random, liked), now);
+    demand.add(rank, counted(random, firstPopular), now);
   }
 }
 
--- a/packages/daemon/src/rank_group/rank_engine.ts
+++ b/packages/daemon/src/rank_group/rank_engine.ts
@@ -14,7 +14,7 @@
 }
 
 /** How often each expert was chosen since the engine started. */
-export interface ChosenCounts {
+export interface ActivationCounts {
   epoch: number;
   /** Unix millisecond of the engine's start, 0 if it does not tell. */
   bornAt: number;
@@ -45,7 +45,7 @@
 /** One rank's engine. */
 export interface RankEngine {
   report(): Promise<neverthrow.Result<RankReport, string>>;
-  chosen(): Promise<neverthrow.Result<ChosenCounts, string>>;
+  chosen(): Promise<neverthrow.Result<ActivationCounts, string>>;
   lists(): Promise<neverthrow.Result<wire.RankLists, string>>;
   order(
     order: wire.RankOrder,
--- a/packages/daemon/src/rank_group/group_rank.ts
+++ b/packages/daemon/src/rank_group/rank_handle.ts
@@ -1,14 +1,14 @@
 import type * as wire from "@geraniumkeel/wire";
 
 /** One rank, as the leader of its group reaches it. */
-export interface GroupRank {
+export interface RankHandle {
   readonly rank: number;
   /** State as last heard. */
   readonly status: wire.RankStatus | undefined;
   /** Gives an order by the process beside the rank and tells how it ended. */
   order(order: wire.RankOrder): Promise<wire.RankReply>;
   /** Gives an order from this host, without the process beside the rank. */
-  orderFromHere(order: wire.RankOrder): Promise<wire.RankReply>;
+  orderDirectly(order: wire.RankOrder): Promise<wire.RankReply>;
   /** Reads the state from the engine itself; whether it answered. */
   refresh(): Promise<boolean>;
 }
--- a/packages/daemon/src/rank_group/rank_links.ts
+++ b/packages/daemon/src/rank_group/rank_links.ts
@@ -5,30 +5,30 @@
 import * as entryMesh from "../mesh/entry_mesh.ts";
 import * as listenModule from "../settings/listen.ts";
 import type * as rankEngine from "./rank_engine.ts";
-import * as rankPort from "./rank_port.ts";
+import * as linkedRank from "./linked_rank.ts";
 
 /** Time between two beats of a leader, in milliseconds. */
-const LEADER_BEAT_MILLISECONDS = 200;
+const HEARTBEAT_MILLISECONDS = 200;
 /** Pause between attempts to link with the ranks that are missing. */
 const RELINK_MILLISECONDS = 300;
 /** How long a process of another group is left alone before it is asked again. */
-const FOREIGN_MILLISECONDS = 5_000;
+const OTHER_GROUP_PAUSE_MILLISECONDS = 5_000;
 /** How long a new leader goes by what the last one knew. */
-const KNOWLEDGE_MILLISECONDS = 2_000;
+const KNOWLEDGE_MAX_AGE_MILLISECONDS = 2_000;
 
 /**
  * Ranks of each kind that are told what a successor needs. Told to all ranks of a large
  * group it keeps a slow link busy for long: beats wait behind it, and ranks that hear
  * none take the lead from each other in turn.
  */
-const LIKELY_SUCCESSORS = 6;
+const LIKELY_SUCCESSORS_OF_EACH_KIND = 6;
 
 /** What linking with the ranks of a group needs. */
 export interface RankLinksParameters {
   token: number;
   /** The leader's own place in the group. */
   identity: wire.RankIdentity;
-  ownPort: rankPort.LinkedRank;
+  ownHandle: linkedRank.LinkedRank;
   service: string;
   /** Engine of another runner, for while the process beside it is away. */
   engineAt: (runner: traffic.RunnerEntry) => rankEngine.RankEngine;
@@ -42,9 +42,9 @@
   /** First message on each link. */
   hello: () => wire.RankHello;
   /** Takes what a rank counted. */
-  onChosen: (rank: number, chosen: number[]) => void;
+  onCounts: (rank: number, chosen: number[]) => void;
   /** How often the own rank is to be counted; 0 for never. */
-  onOwnCounts: (milliseconds: number) => void;
+  onOwnCountPeriod: (milliseconds: number) => void;
   /** There is a newer leader. */
   onHigherToken: (token: number) => void;
   lifeCycle: common.LifeCycle;
@@ -53,32 +53,34 @@
 /** A leader's links with all ranks of its group, for the time of one term. */
 export class RankLinks {
   /** All ranks that are known so far, the own one among them. */
-  readonly ports = new Map<number, rankPort.LinkedRank>();
+  readonly handles = new Map<number, linkedRank.LinkedRank>();
   /** Open links, each with the rank at its far end. */
   readonly #links = new Map<wire.Link, number>();
   readonly #runners = new Map<number, traffic.RunnerEntry>();
   readonly #startedAt = common.now();
   /** Experts over all layers; 0 while the engines are not known. */
-  numbersPerReading = 0;
+  countsPerReading = 0;
   /** What likely successors are told as soon as they are linked. */
-  #told: wire.GroupKnowledge | undefined;
+  #sharedKnowledge: wire.GroupKnowledge | undefined;
 
   constructor(readonly parameters: RankLinksParameters) {
-    this.ports.set(parameters.identity.rank, parameters.ownPort);
-    this.#takeOverRanks();
+    this.handles.set(parameters.identity.rank, parameters.ownHandle);
+    this.#adoptKnownRanks();
   }
 
   /**
    * Ranks as the last leader knew them. One whose host is frozen cannot be asked
    * which rank it is, and the group may stand still until its leader is succeeded.
    */
-  #takeOverRanks(): void {
+  #adoptKnownRanks(): void {
     const { identity } = this.parameters;
-    const known = this.parameters.knowledge();
-    if (known?.group !== identity.group) return;
-    if (known.epoch !== identity.epoch) return;
-    if (known.runners.length !== identity.size) return;
-    known.runners.forEach((runner, rank) => this.#portOf(runner, rank));
+    const lastKnowledge = this.parameters.knowledge();
+    if (lastKnowledge?.group !== identity.group) return;
+    if (lastKnowledge.epoch !== identity.epoch) return;
+    if (lastKnowledge.runners.length !== identity.size) return;
+    lastKnowledge.runners.forEach((runner, rank) =>
+      this.#handleOf(runner, rank),
+    );
   }
 
   /** Runners of the ranks that are known, in order of rank. */
@@ -88,10 +90,10 @@
   }
 
   /** Tells likely successors, now and when they link, what they need. */
-  tellKnowledge(knowledge: wire.GroupKnowledge): void {
-    this.#told = knowledge;
+  shareKnowledge(knowledge: wire.GroupKnowledge): void {
+    this.#sharedKnowledge = knowledge;
     for (const [link, rank] of this.#links) {
-      if (this.#maySucceed(rank)) link.send(knowledge);
+      if (this.#isLikelySuccessor(rank)) link.send(knowledge);
     }
   }
 
@@ -99,42 +101,45 @@
    * Whether a rank is a likely successor: the lower its number, the shorter its
    * patience with a silent leader; and the ranks after the own one hold passes.
    */
-  #maySucceed(rank: number): boolean {
+  #isLikelySuccessor(rank: number): boolean {
     const { rank: own, size } = this.parameters.identity;
-    const after = (rank - own + size) % size;
-    return Math.min(rank, after) < LIKELY_SUCCESSORS;
+    const distance = (rank - own + size) % size;
+    return Math.min(rank, distance) < LIKELY_SUCCESSORS_OF_EACH_KIND;
   }
 
   /** Sends a message to all linked ranks. */
-  tellAll(message: wire.Message): void {
+  broadcast(message: wire.Message): void {
     for (const link of this.#links.keys()) link.send(message);
   }
 
   /** Links with all ranks of the group, and tells them who leads. */
-  async keep(signal: AbortSignal): Promise<void> {
+  async maintain(signal: AbortSignal): Promise<void> {
     const { size } = this.parameters.identity;
     const linked = new Set<string>();
-    const beat = setInterval(() => this.#beat(), LEADER_BEAT_MILLISECONDS);
+    const heartbeatTimer = setInterval(
+      () => this.#sendHeartbeats(),
+      HEARTBEAT_MILLISECONDS,
+    );
     try {
       while (!signal.aborted) {
-        const missing = linked.size < size - 1 || this.ports.size < size;
+        const missing = linked.size < size - 1 || this.handles.size < size;
         if (missing) await this.#linkMissing(linked, signal);
         await common.sleep(RELINK_MILLISECONDS, signal);
       }
     } finally {
-      clearInterval(beat);
+      clearInterval(heartbeatTimer);
       for (const link of this.#links.keys()) link.close();
     }
   }
 
   /** Tells all ranks who leads, and which of them are to tell what is chosen. */
-  #beat(): void {
-    const { identity, onOwnCounts } = this.parameters;
+  #sendHeartbeats(): void {
+    const { identity, onOwnCountPeriod: onOwnCounts } = this.parameters;
     const plan = this.#countPlan();
     for (const [link, rank] of this.#links) {
-      link.send(this.#beatFor(rank, plan));
+      link.send(this.#heartbeatFor(rank, plan));
     }
-    const { countMilliseconds } = this.#beatFor(identity.rank, plan);
+    const { countMilliseconds } = this.#heartbeatFor(identity.rank, plan);
     onOwnCounts(countMilliseconds);
   }
 
@@ -143,18 +148,18 @@
     const { rank } = identity;
     const linked = new Set([rank, ...this.#links.values()]);
     return countPlan.planCounts({
-      linked: [...linked].sort((left, right) => left - right),
-      numbersPerReading: this.numbersPerReading,
+      linkedRanks: [...linked].sort((left, right) => left - right),
+      countsPerReading: this.countsPerReading,
       linkBytesPerSecond,
     });
   }
 
-  #beatFor(rank: number, plan: countPlan.CountPlan): wire.LeaderBeat {
+  #heartbeatFor(rank: number, plan: countPlan.CountPlan): wire.LeaderHeartbeat {
     const { token, identity } = this.parameters;
     const { group, epoch } = identity;
-    const { tellers, periodMilliseconds } = plan;
-    const kind = wire.MessageKind.LeaderBeat;
-    const countMilliseconds = tellers.has(rank) ? periodMilliseconds : 0;
+    const { reporters, periodMilliseconds } = plan;
+    const kind = wire.MessageKind.LeaderHeartbeat;
+    const countMilliseconds = reporters.has(rank) ? periodMilliseconds : 0;
     return { kind, token, group, epoch, countMilliseconds };
   }
 
@@ -174,9 +179,11 @@
   /** Runners that may be of the group: as the last leader knew, or all listed. */
   async #possibleRunners(): Promise<traffic.RunnerEntry[]> {
     const { identity } = this.parameters;
-    const known = this.parameters.knowledge();
-    const fresh = common.now() - this.#startedAt < KNOWLEDGE_MILLISECONDS;
-    if (known?.group === identity.group && fresh) return known.runners;
+    const lastKnowledge = this.parameters.knowledge();
+    const fresh =
+      common.now() - this.#startedAt < KNOWLEDGE_MAX_AGE_MILLISECONDS;
+    if (lastKnowledge?.group === identity.group && fresh)
+      return lastKnowledge.runners;
     const read = await this.parameters.runnerSource.next(0);
     return read.isOk() ? (read.value.value?.runners ?? []) : [];
   }
@@ -211,25 +218,28 @@
           const { identity } = message;
           if (identity?.group !== group) {
             // Of another group: its own leader links with it.
-            if (identity) await common.sleep(FOREIGN_MILLISECONDS, signal);
+            if (identity)
+              await common.sleep(OTHER_GROUP_PAUSE_MILLISECONDS, signal);
             return link.close();
           }
-          this.#portOf(runner, identity.rank).attach(link);
+          this.#handleOf(runner, identity.rank).attach(link);
           this.#links.set(link, identity.rank);
-          link.send(this.#beatFor(identity.rank, this.#countPlan()));
-          const succeeds = this.#maySucceed(identity.rank);
-          if (this.#told && succeeds) link.send(this.#told);
+          link.send(this.#heartbeatFor(identity.rank, this.#countPlan()));
+          const succeeds = this.#isLikelySuccessor(identity.rank);
+          if (this.#sharedKnowledge && succeeds)
+            link.send(this.#sharedKnowledge);
           break;
         }
-        case wire.MessageKind.RankBeat: {
+        case wire.MessageKind.RankHeartbeat: {
           const { rank } = message.identity;
-          this.#portOf(runner, rank).hear(message.status);
-          this.parameters.onChosen(rank, message.chosen);
+          this.#handleOf(runner, rank).updateStatus(message.status);
+          this.parameters.onCounts(rank, message.chosen);
           break;
         }
         case wire.MessageKind.RankReply:
         case wire.MessageKind.RankListsAnswer:
-          for (const port of this.ports.values()) port.receive(message, link);
+          for (const handle of this.handles.values())
+            handle.receive(message, link);
           break;
         default:
           link.close(wire.LinkEnd.Unreadable);
@@ -244,25 +254,25 @@
     if (report.isErr()) return;
     const { identity, status } = report.value;
     if (identity.group !== this.parameters.identity.group) return;
-    this.#portOf(runner, identity.rank).hear(status);
+    this.#handleOf(runner, identity.rank).updateStatus(status);
   }
 
-  #portOf(runner: traffic.RunnerEntry, rank: number): rankPort.LinkedRank {
+  #handleOf(runner: traffic.RunnerEntry, rank: number): linkedRank.LinkedRank {
     const isNew = !this.#runners.has(rank);
     this.#runners.set(rank, runner);
-    if (isNew && this.#told) {
-      this.tellKnowledge({ ...this.#told, runners: this.runners });
+    if (isNew && this.#sharedKnowledge) {
+      this.shareKnowledge({ ...this.#sharedKnowledge, runners: this.runners });
     }
-    const known = this.ports.get(rank);
+    const known = this.handles.get(rank);
     if (known) return known;
     const { token, identity } = this.parameters;
     const { epoch } = identity;
-    const created = new rankPort.LinkedRank(
+    const created = new linkedRank.LinkedRank(
       rank,
       this.parameters.engineAt(runner),
       () => ({ token, epoch }),
     );
-    this.ports.set(rank, created);
+    this.handles.set(rank, created);
     return created;
   }
 }
--- a/packages/daemon/src/rank_group/rank_member_test.ts
+++ b/packages/daemon/src/rank_group/rank_member_test.ts
@@ -7,13 +7,13 @@
 
 const test = ava.default;
 
-const PATIENCE_MILLISECONDS = 5_000;
+const TIMEOUT_MILLISECONDS = 5_000;
 
 /** Counts of an engine, and when it started, at each reading. */
 interface Readings {
   mapVersion: number;
   counts: number[][];
-  births?: number[];
+  startTimes?: number[];
 }
 
 /** An engine that tells the given counts, one list at each reading. */
@@ -21,7 +21,7 @@
   engine: rankEngine.RankEngine;
   allRead: () => boolean;
 } {
-  const { mapVersion, counts, births = [] } = parameters;
+  const { mapVersion, counts, startTimes = [] } = parameters;
   let readings = 0;
   const engine: rankEngine.RankEngine = {
     report: async () =>
@@ -45,7 +45,7 @@
       }),
     chosen: async () => {
       const reading = Math.min(readings++, counts.length - 1);
-      const bornAt = births[reading] ?? 0;
+      const bornAt = startTimes[reading] ?? 0;
       return neverthrow.ok({ epoch: 2, bornAt, chosen: counts[reading] });
     },
     lists: async () => neverthrow.err("not asked"),
@@ -55,7 +55,7 @@
 }
 
 /** Sums of what is told to the leader until all counts were read. */
-async function toldBy(
+async function reportedCounts(
   t: ava.ExecutionContext,
   parameters: Readings,
 ): Promise<number[]> {
@@ -66,8 +66,8 @@
   void member.watch(stop.signal);
   const sums: number[] = [];
   while (!allRead()) {
-    await member.changed.next(PATIENCE_MILLISECONDS, stop.signal);
-    member.takeChosen().forEach((count, index) => {
+    await member.changed.next(TIMEOUT_MILLISECONDS, stop.signal);
+    member.takeCounts().forEach((count, index) => {
       sums[index] = (sums[index] ?? 0) + count;
     });
   }
@@ -80,7 +80,7 @@
     [110, 100],
     [115, 130],
   ];
-  t.deepEqual(await toldBy(t, { mapVersion: 4, counts }), [15, 30]);
+  t.deepEqual(await reportedCounts(t, { mapVersion: 4, counts }), [15, 30]);
 });
 
 // Callers' streams stall under the first map until demand is known. A group that
@@ -90,7 +90,7 @@
     [5, 9],
     [6, 9],
   ];
-  t.deepEqual(await toldBy(t, { mapVersion: 0, counts }), [6, 9]);
+  t.deepEqual(await reportedCounts(t, { mapVersion: 0, counts }), [6, 9]);
 });
 
 // A rank that crashed counts from 0 when it is back; its new counts are no loss.
@@ -99,7 +99,7 @@
     [100, 100],
     [2, 7],
   ];
-  t.deepEqual(await toldBy(t, { mapVersion: 4, counts }), [2, 7]);
+  t.deepEqual(await reportedCounts(t, { mapVersion: 4, counts }), [2, 7]);
 });
 
 // The map would be made for demand of long ago. An engine crashed and is back under
@@ -109,8 +109,11 @@
     [10, 10],
     [25, 70],
   ];
-  const births = [1_000, 9_000];
-  t.deepEqual(await toldBy(t, { mapVersion: 4, counts, births }), [25, 70]);
+  const startTimes = [1_000, 9_000];
+  t.deepEqual(
+    await reportedCounts(t, { mapVersion: 4, counts, startTimes }),
+    [25, 70],
+  );
 });
 
 // A new leader's link is full for as long as it needs to know its group: each rank of a
@@ -123,10 +126,10 @@
   t.teardown(() => stop.abort());
   void member.watch(stop.signal);
   while (!allRead()) {
-    await member.changed.next(PATIENCE_MILLISECONDS, stop.signal);
+    await member.changed.next(TIMEOUT_MILLISECONDS, stop.signal);
   }
-  member.countEvery(0);
-  t.deepEqual(member.takeChosen(), []);
+  member.setCountPeriod(0);
+  t.deepEqual(member.takeCounts(), []);
 });
 
 // A shift of demand is answered later than it could be: maps that were loaded and left
@@ -140,7 +143,7 @@
   const stop = new AbortController();
   t.teardown(() => stop.abort());
   void member.watch(stop.signal);
-  await member.changed.next(PATIENCE_MILLISECONDS, stop.signal);
+  await member.changed.next(TIMEOUT_MILLISECONDS, stop.signal);
   const kind = wire.RankOrderKind.Prepare as const;
   for (let version = 4; version < 10; version++) {
     const order = { kind, version, map: [[[version]]] };
@@ -153,7 +156,7 @@
 
 const READINGS_WHILE_LOADING = 20;
 /** Calm readings would take 6 s, close ones 0.8 s. */
-const LOADING_SEEN_MILLISECONDS = 3_500;
+const MAX_LOADING_MILLISECONDS = 3_500;
 
 // Streams wait for a slow rank for longer than its copies take. The engine does not
 // count loading as being busy; read as seldom as in calm times, a map that is ready is
@@ -184,10 +187,10 @@
     order: { kind, version: 5, map: [] },
   });
   while (member.status?.preparedVersion !== 5) {
-    await member.changed.next(PATIENCE_MILLISECONDS, stop.signal);
+    await member.changed.next(TIMEOUT_MILLISECONDS, stop.signal);
   }
   const took = common.now() - startedAt;
-  t.true(took < LOADING_SEEN_MILLISECONDS, `${took} ms`);
+  t.true(took < MAX_LOADING_MILLISECONDS, `${took} ms`);
 });
 
 // The process beside each rank reads its engine 60 times a second for seconds after each
@@ -208,7 +211,7 @@
   });
   const stop = new AbortController();
   t.teardown(() => stop.abort());
-  member.countEvery(0);
+  member.setCountPeriod(0);
   void member.watch(stop.signal);
   const kind = wire.RankOrderKind.Prepare as const;
   await member.execute({
@@ -216,10 +219,10 @@
     epoch: 2,
     order: { kind, version: 5, map: [] },
   });
-  await member.changed.next(PATIENCE_MILLISECONDS, stop.signal);
+  await member.changed.next(TIMEOUT_MILLISECONDS, stop.signal);
   const before = readings;
   const startedAt = common.now();
-  await member.changed.next(PATIENCE_MILLISECONDS, stop.signal);
+  await member.changed.next(TIMEOUT_MILLISECONDS, stop.signal);
   t.is(readings, before + 1);
   t.true(common.now() - startedAt > 200);
 });
--- a/packages/daemon/src/rank_group/rank_process.ts
+++ b/packages/daemon/src/rank_group/rank_process.ts
@@ -19,30 +19,30 @@
  * Silence of a leader after which a rank takes its place: over three beats, and more
  * the higher the rank, so that one of them does.
  */
-const LEADERLESS_MILLISECONDS = 700;
-const LEADERLESS_STAGGER_MILLISECONDS = 250;
+const LEADER_TIMEOUT_MILLISECONDS = 700;
+const TIMEOUT_STAGGER_MILLISECONDS = 250;
 /**
  * Silence of a leader after which a rank takes its place while it holds a pass: the
  * group is about to stand still. One beat and a half: a switch holds a pass for some
  * 50 ms, and a leader that is succeeded too early loses that one switch.
  */
-const HELD_MILLISECONDS = 300;
+const HOLDER_LEADER_TIMEOUT_MILLISECONDS = 300;
 /**
  * The same after a rank has told of a newer leader. A process that wakes from a freeze
  * is linked anew within a second; taking the lead back meanwhile, it undoes the switch
  * that its successor has begun. Should that one die, other ranks are less patient.
  */
-const SUCCEEDED_MILLISECONDS = 2_000;
+const SUPERSEDED_LEADER_TIMEOUT_MILLISECONDS = 2_000;
 /** How often it is looked whether there is a leader. */
-const LOOK_MILLISECONDS = 50;
+const POLL_MILLISECONDS = 50;
 /** Longest time that a stopping process waits for its switch to end. */
-const DRAIN_MILLISECONDS = 3_000;
-const DRAIN_LOOK_MILLISECONDS = 20;
+const DRAIN_TIMEOUT_MILLISECONDS = 3_000;
+const DRAIN_POLL_MILLISECONDS = 20;
 /**
  * Age up to which demand seen in the term before is planned by: a group is formed
  * anew in two to three seconds, and what is liked changes every few seconds.
  */
-const DEMAND_KEPT_MILLISECONDS = 5_000;
+const MAX_DEMAND_AGE_MILLISECONDS = 5_000;
 /** Tokens are times: a process that starts anew goes on above its last one. */
 const TOKENS_PER_MILLISECOND = 64;
 
@@ -83,13 +83,13 @@
   #term: Term | undefined;
   #stopping = false;
   /** When a rank last told that another process leads by a higher token. */
-  #succeededAt = -Infinity;
+  #supersededAt = -Infinity;
   /** Demand as seen in the latest term of this process. */
   #demand: demandModule.Demand | undefined;
 
   constructor(readonly parameters: RankProcessParameters) {
     this.#member = new rankMember.RankMember(parameters.engine, () =>
-      this.#part(),
+      this.#role(),
     );
     this.#follower = new leaderFollower.LeaderFollower({
       ...parameters,
@@ -115,8 +115,8 @@
     });
     lifeCycle.own({ name: "links", close: () => accepting.close() });
     lifeCycle.run("watch", (signal) => this.#member.watch(signal));
-    lifeCycle.run("tell", (signal) => this.#tellLeader(signal));
-    lifeCycle.run("lead", (signal) => this.#leadWhenAlone(signal));
+    lifeCycle.run("tell", (signal) => this.#reportToLeader(signal));
+    lifeCycle.run("lead", (signal) => this.#leadWhenLeaderless(signal));
   }
 
   /**
@@ -125,9 +125,9 @@
    */
   async drain(): Promise<void> {
     this.#stopping = true;
-    const deadline = common.now() + DRAIN_MILLISECONDS;
+    const deadline = common.now() + DRAIN_TIMEOUT_MILLISECONDS;
     while (this.#term?.leader?.switching && common.now() < deadline) {
-      await common.sleep(DRAIN_LOOK_MILLISECONDS);
+      await common.sleep(DRAIN_POLL_MILLISECONDS);
     }
     this.#endTerm("stopping");
   }
@@ -139,65 +139,69 @@
       status: this.#member.status,
       token: this.#member.token,
       leads: this.#term !== undefined,
-      leaderSilence: common.now() - this.#follower.heardAt,
+      leaderSilence: common.now() - this.#follower.lastHeartbeatAt,
     };
   }
 
   /** What this process is to its group. */
-  #part(): readingPlan.Part {
+  #role(): readingPlan.GroupRole {
     const { leader } = this.#term ?? {};
-    if (leader?.switching) return readingPlan.Part.Switches;
-    if (this.#term) return readingPlan.Part.Leads;
-    const silence = common.now() - this.#follower.heardAt;
-    const isLed = this.#follower.follows && silence < LEADERLESS_MILLISECONDS;
-    return isLed ? readingPlan.Part.Follows : readingPlan.Part.Alone;
+    if (leader?.switching) return readingPlan.GroupRole.Switching;
+    if (this.#term) return readingPlan.GroupRole.Leader;
+    const sinceHeartbeat = common.now() - this.#follower.lastHeartbeatAt;
+    const isLed =
+      this.#follower.follows && sinceHeartbeat < LEADER_TIMEOUT_MILLISECONDS;
+    return isLed
+      ? readingPlan.GroupRole.Follower
+      : readingPlan.GroupRole.Leaderless;
   }
 
   /** Tells the leader each time the engine was read. */
-  async #tellLeader(signal: AbortSignal): Promise<void> {
+  async #reportToLeader(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
-      await this.#member.changed.next(LEADERLESS_MILLISECONDS, signal);
+      await this.#member.changed.next(LEADER_TIMEOUT_MILLISECONDS, signal);
       const { identity, status } = this.#member;
       if (!identity || !status) continue;
       if (this.#term) {
         const { leader, links } = this.#term;
-        links.ports.get(identity.rank)?.hear(status);
-        leader?.count(identity.rank, this.#member.takeChosen());
+        links.handles.get(identity.rank)?.updateStatus(status);
+        leader?.addCounts(identity.rank, this.#member.takeCounts());
         continue;
       }
-      this.#follower.tell();
+      this.#follower.report();
     }
   }
 
-  async #leadWhenAlone(signal: AbortSignal): Promise<void> {
+  async #leadWhenLeaderless(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
       const { identity } = this.#member;
       if (!identity || this.#stopping) {
-        this.#follower.heardAt = common.now();
-        await common.sleep(LOOK_MILLISECONDS, signal);
+        this.#follower.lastHeartbeatAt = common.now();
+        await common.sleep(POLL_MILLISECONDS, signal);
         continue;
       }
-      const silence = common.now() - this.#follower.heardAt;
-      const patience = this.#patienceWithLeader(identity);
-      if (silence < patience) {
-        const pause = Math.max(LOOK_MILLISECONDS, patience - silence);
+      const sinceHeartbeat = common.now() - this.#follower.lastHeartbeatAt;
+      const timeout = this.#leaderTimeout(identity);
+      if (sinceHeartbeat < timeout) {
+        const pause = Math.max(POLL_MILLISECONDS, timeout - sinceHeartbeat);
         await this.#member.changed.next(pause, signal);
         continue;
       }
       await this.#lead(identity, signal);
-      this.#follower.heardAt = this.#formedAnewSince(identity)
+      this.#follower.lastHeartbeatAt = this.#isReformedSince(identity)
         ? -Infinity
         : common.now();
     }
   }
 
   /** Silence of the leader after which this process leads, in milliseconds. */
-  #patienceWithLeader({ rank }: wire.RankIdentity): number {
-    const holds = (this.#member.status?.heldStep ?? -1) >= 0;
-    if (holds) return HELD_MILLISECONDS;
-    const sinceSucceeded = common.now() - this.#succeededAt;
-    if (sinceSucceeded < SUCCEEDED_MILLISECONDS) return SUCCEEDED_MILLISECONDS;
-    return LEADERLESS_MILLISECONDS + rank * LEADERLESS_STAGGER_MILLISECONDS;
+  #leaderTimeout({ rank }: wire.RankIdentity): number {
+    const isHolding = (this.#member.status?.heldStep ?? -1) >= 0;
+    if (isHolding) return HOLDER_LEADER_TIMEOUT_MILLISECONDS;
+    const sinceSuperseded = common.now() - this.#supersededAt;
+    if (sinceSuperseded < SUPERSEDED_LEADER_TIMEOUT_MILLISECONDS)
+      return SUPERSEDED_LEADER_TIMEOUT_MILLISECONDS;
+    return LEADER_TIMEOUT_MILLISECONDS + rank * TIMEOUT_STAGGER_MILLISECONDS;
   }
 
   /**
@@ -206,7 +210,7 @@
    * almost three times the mean, while a backlog waits: that there is no leader is
    * certain, and a silence of 0.7 s need not show it first.
    */
-  #formedAnewSince(led: wire.RankIdentity): boolean {
+  #isReformedSince(led: wire.RankIdentity): boolean {
     if (this.#follower.follows) return false;
     return this.#member.identity?.epoch !== led.epoch;
   }
@@ -218,20 +222,20 @@
       Math.floor(Date.now()) * TOKENS_PER_MILLISECOND + identity.rank,
       this.#member.token + TOKENS_PER_MILLISECOND,
     );
-    this.#member.heed(token);
+    this.#member.acceptToken(token);
     const ended = new AbortController();
     const links = this.#newLinks(token, identity);
     const term: Term = { token, identity, ended, links, leader: undefined };
     this.#term = term;
-    this.#follower.forget();
+    this.#follower.stopFollowing();
     const { group, epoch, rank } = identity;
     const code = common.EventCode.CoordinatorChanged;
     logger.event(code, { group, epoch, rank, token, leads: true });
-    const both = AbortSignal.any([signal, ended.signal]);
+    const termSignal = AbortSignal.any([signal, ended.signal]);
     // The links to all ranks end with it.
-    events.EventEmitter.setMaxListeners(0, both);
+    events.EventEmitter.setMaxListeners(0, termSignal);
     try {
-      await this.#runTerm(term, both);
+      await this.#runTerm(term, termSignal);
     } finally {
       if (this.#term === term) this.#endTerm("over");
     }
@@ -251,26 +255,26 @@
     const { lifeCycle, logger } = this.parameters;
     const { links } = term;
     const { group, size, epoch } = term.identity;
-    lifeCycle.run("links to ranks", () => links.keep(signal));
-    while (!signal.aborted && links.ports.size < size) {
+    lifeCycle.run("links to ranks", () => links.maintain(signal));
+    while (!signal.aborted && links.handles.size < size) {
       if (this.#member.identity?.epoch !== epoch) return;
-      await common.sleep(LOOK_MILLISECONDS, signal);
+      await common.sleep(POLL_MILLISECONDS, signal);
     }
     const model =
       this.#follower.knowledge?.model ??
       (await readGroupModel.readGroupModel({ ...this.parameters, signal }));
     if (!model || signal.aborted) return;
     const { layers, expertsPerLayer } = model.shape;
-    links.numbersPerReading = layers * expertsPerLayer;
+    links.countsPerReading = layers * expertsPerLayer;
     const kind = wire.MessageKind.GroupKnowledge;
     const { runners } = links;
     const knowledge = { kind, group, epoch, runners, model } as const;
     this.#follower.knowledge = knowledge;
-    links.tellKnowledge(knowledge);
+    links.shareKnowledge(knowledge);
     term.leader = new groupLeader.GroupLeader({
       identity: term.identity,
-      ports: [...links.ports.values()].sort((a, b) => a.rank - b.rank),
-      own: links.parameters.ownPort,
+      handles: [...links.handles.values()].sort((a, b) => a.rank - b.rank),
+      own: links.parameters.ownHandle,
       ...model,
       demand: this.#demandFor(model.shape),
       valid: () =>
@@ -282,10 +286,10 @@
         const kind = wire.MessageKind.HoldNotice;
         const leader = term.identity.rank;
         const notice = { kind, group, epoch, leader, holder, step } as const;
-        this.#follower.noteHold(notice);
-        links.tellAll(notice);
+        this.#follower.recordHoldNotice(notice);
+        links.broadcast(notice);
       },
-      announced: () => this.#follower.announcedIn(epoch),
+      holdNotices: () => this.#follower.holdNoticesOf(epoch),
       rememberedMap: (version) => this.#member.mapOf(version),
       logger,
     });
@@ -300,7 +304,7 @@
       ...parameters,
       token,
       identity,
-      ownPort: new ownRank.OwnRank(
+      ownHandle: new ownRank.OwnRank(
         rank,
         parameters.engine,
         leadership,
@@ -308,12 +312,13 @@
       ),
       knowledge: () => this.#follower.knowledge,
       hello: () => this.#follower.hello(),
-      onChosen: (chosenAt, chosen) =>
-        this.#term?.leader?.count(chosenAt, chosen),
-      onOwnCounts: (milliseconds) => this.#member.countEvery(milliseconds),
+      onCounts: (countedRank, chosen) =>
+        this.#term?.leader?.addCounts(countedRank, chosen),
+      onOwnCountPeriod: (milliseconds) =>
+        this.#member.setCountPeriod(milliseconds),
       onHigherToken: (higher) => {
-        this.#succeededAt = common.now();
-        this.#member.heed(higher);
+        this.#supersededAt = common.now();
+        this.#member.acceptToken(higher);
         this.#endTerm("a higher token is known");
       },
     });
@@ -326,9 +331,9 @@
    * after the first passes have shown once more what is chosen.
    */
   #demandFor(shape: traffic.EngineShape): demandModule.Demand {
-    const known = this.#demand;
-    const age = common.now() - (known?.addedAt ?? -Infinity);
-    if (known && age < DEMAND_KEPT_MILLISECONDS) return known;
+    const earlier = this.#demand;
+    const age = common.now() - (earlier?.addedAt ?? -Infinity);
+    if (earlier && age < MAX_DEMAND_AGE_MILLISECONDS) return earlier;
     this.#demand = new demandModule.Demand(shape.expertsPerLayer);
     return this.#demand;
   }
--- a/packages/daemon/src/rank_group/read_group_model.ts
+++ b/packages/daemon/src/rank_group/read_group_model.ts
@@ -3,7 +3,7 @@
 import type * as wire from "@geraniumkeel/wire";
 
 /** Pause before the store is asked again for the shape of the engines. */
-const PAUSE_MILLISECONDS = 300;
+const RETRY_PAUSE_MILLISECONDS = 300;
 
 /** Reads from the configuration what a group's engines are, until it is there. */
 export async function readGroupModel(parameters: {
@@ -13,18 +13,18 @@
   signal: AbortSignal;
 }): Promise<wire.GroupModel | undefined> {
   const { configurationSource, service, logger, signal } = parameters;
-  let told = false;
+  let isLogged = false;
   while (!signal.aborted) {
     const read = await configurationSource.next(0);
-    if (read.isErr() && !told) {
-      told = true;
+    if (read.isErr() && !isLogged) {
+      isLogged = true;
       const code = common.EventCode.DocumentUnavailable;
       logger.event(code, { document: "configuration", ...read.error });
     }
     const value = read.isOk() ? read.value.value : undefined;
     const model = value && modelOf(value, service);
     if (model) return model;
-    await common.sleep(PAUSE_MILLISECONDS, signal);
+    await common.sleep(RETRY_PAUSE_MILLISECONDS, signal);
   }
   return undefined;
 }
--- a/packages/daemon/src/rank_group/reading_plan.ts
+++ b/packages/daemon/src/rank_group/reading_plan.ts
@@ -1,15 +1,15 @@
 import type * as wire from "@geraniumkeel/wire";
 
 /** What the process beside a rank is to its group. */
-export enum Part {
+export enum GroupRole {
   /** It leads the group. */
-  Leads = "leads",
+  Leader = "leads",
   /** It leads the group, and has it switch to another map. */
-  Switches = "switches",
+  Switching = "switches",
   /** It hears a leader. */
-  Follows = "follows",
+  Follower = "follows",
   /** It hears none. */
-  Alone = "alone",
+  Leaderless = "alone",
 }
 
 /**
@@ -17,37 +17,37 @@
  * happens to the group the leader sees at its own rank; from the others it learns that
  * they are there, which counts for 900 ms, and how many requests they have.
  */
-const FOLLOWER_MILLISECONDS = 500;
+const FOLLOWER_PERIOD_MILLISECONDS = 500;
 /** The same for a leader, and for a rank without one. */
-const CALM_MILLISECONDS = 300;
+const CALM_PERIOD_MILLISECONDS = 300;
 /** The same for a leader whose group runs requests: it aims switches by the passes. */
-const LEADER_MILLISECONDS = 150;
+const LEADER_PERIOD_MILLISECONDS = 150;
 /** While the engine has told nothing yet: it may take seconds to start. */
-const UNKNOWN_MILLISECONDS = 100;
+const UNKNOWN_STATE_PERIOD_MILLISECONDS = 100;
 /** While the rank holds a pass, or its own process has the group switch. */
-const CLOSE_MILLISECONDS = 40;
+const CLOSE_PERIOD_MILLISECONDS = 40;
 /**
  * While the group is being formed, or has its first map with requests there: that map
  * leaves the slowest rank almost three times the mean until demand is known.
  */
-const YOUNG_MILLISECONDS = 80;
+const NEWLY_FORMED_PERIOD_MILLISECONDS = 80;
 /** While a map should be loaded: all ranks wait for the one that is seen last. */
-const LOADED_MILLISECONDS = 15;
+const LOADED_PERIOD_MILLISECONDS = 15;
 /** After this time beyond the one in which a map should be loaded, reading it so is vain. */
 const OVERDUE_MILLISECONDS = 400;
 
 /** How often choices are read while few requests run: little is gained by haste. */
-const SELDOM_COUNT_MILLISECONDS = 300;
+const MIN_IDLE_COUNT_PERIOD_MILLISECONDS = 300;
 /** Requests from which an engine counts as busy. */
-const SEVERAL_REQUESTS = 3;
+const MIN_BUSY_REQUESTS = 3;
 
 /** What decides when an engine is read. */
 export interface ReadingState {
-  part: Part;
+  role: GroupRole;
   /** As last read; `undefined` before the first reading. */
   status: wire.RankStatus | undefined;
   /** When the map that the engine loads should be there; `undefined` if it loads none. */
-  loadedAt: number | undefined;
+  expectedLoadedAt: number | undefined;
   /** Until when the state is read closely: the rank is about to hold a pass. */
   closelyUntil: number;
   /** How often the leader asks for choices; 0 for never. */
@@ -60,58 +60,68 @@
  * small part of a core: every reading costs as much as some hundred messages' bytes, and
  * most of what it tells is known at another rank.
  */
-export function nextStateAt(state: ReadingState, readAt: number): number {
-  const { status, loadedAt, closelyUntil, now } = state;
-  if (!status) return readAt + UNKNOWN_MILLISECONDS;
+export function nextStateReadingAt(
+  state: ReadingState,
+  readAt: number,
+): number {
+  const { status, expectedLoadedAt, closelyUntil, now } = state;
+  if (!status) return readAt + UNKNOWN_STATE_PERIOD_MILLISECONDS;
   const isClose = now < closelyUntil || status.heldStep >= 0;
-  if (isClose) return readAt + CLOSE_MILLISECONDS;
-  const period = calmPeriod(state, status);
-  if (loadedAt === undefined) return readAt + period;
+  if (isClose) return readAt + CLOSE_PERIOD_MILLISECONDS;
+  const period = periodOf(state, status);
+  if (expectedLoadedAt === undefined) return readAt + period;
   // Nothing is new before the map is there.
-  const isOverdue = now > loadedAt + OVERDUE_MILLISECONDS;
-  const pause = isOverdue ? CLOSE_MILLISECONDS : LOADED_MILLISECONDS;
-  return Math.max(loadedAt, readAt + pause);
+  const isOverdue = now > expectedLoadedAt + OVERDUE_MILLISECONDS;
+  const pause = isOverdue
+    ? CLOSE_PERIOD_MILLISECONDS
+    : LOADED_PERIOD_MILLISECONDS;
+  return Math.max(expectedLoadedAt, readAt + pause);
 }
 
-function calmPeriod(state: ReadingState, status: wire.RankStatus): number {
-  const { part, countMilliseconds } = state;
-  if (!status.open) return YOUNG_MILLISECONDS;
-  const runs = status.active + status.waiting > 0;
-  switch (part) {
-    case Part.Switches:
-      return CLOSE_MILLISECONDS;
-    case Part.Leads:
-      if (!runs) return CALM_MILLISECONDS;
-      return status.mapVersion === 0 ? YOUNG_MILLISECONDS : LEADER_MILLISECONDS;
-    case Part.Alone:
-      return CALM_MILLISECONDS;
-    case Part.Follows: {
-      const tellsFirstCounts =
-        runs && status.mapVersion === 0 && countMilliseconds > 0;
-      return tellsFirstCounts ? YOUNG_MILLISECONDS : FOLLOWER_MILLISECONDS;
+function periodOf(state: ReadingState, status: wire.RankStatus): number {
+  const { role, countMilliseconds } = state;
+  if (!status.open) return NEWLY_FORMED_PERIOD_MILLISECONDS;
+  const hasRequests = status.active + status.waiting > 0;
+  switch (role) {
+    case GroupRole.Switching:
+      return CLOSE_PERIOD_MILLISECONDS;
+    case GroupRole.Leader:
+      if (!hasRequests) return CALM_PERIOD_MILLISECONDS;
+      return status.mapVersion === 0
+        ? NEWLY_FORMED_PERIOD_MILLISECONDS
+        : LEADER_PERIOD_MILLISECONDS;
+    case GroupRole.Leaderless:
+      return CALM_PERIOD_MILLISECONDS;
+    case GroupRole.Follower: {
+      const reportsFirstCounts =
+        hasRequests && status.mapVersion === 0 && countMilliseconds > 0;
+      return reportsFirstCounts
+        ? NEWLY_FORMED_PERIOD_MILLISECONDS
+        : FOLLOWER_PERIOD_MILLISECONDS;
     }
   }
 }
 
 /** When an engine's choices are read next; never if nobody asks or nothing runs. */
-export function nextCountAt(
+export function nextCountReadingAt(
   state: ReadingState,
   readAt: number,
-  allTell: boolean,
+  allReport: boolean,
 ): number {
   const { status, countMilliseconds } = state;
   if (countMilliseconds === 0 || !status) return Infinity;
   const requests = status.active + status.waiting;
   if (requests === 0) return Infinity;
-  if (allTell && isYoung(status)) return readAt + YOUNG_MILLISECONDS;
-  const several = requests >= SEVERAL_REQUESTS;
-  const period = several
+  if (allReport && isNewlyFormed(status))
+    return readAt + NEWLY_FORMED_PERIOD_MILLISECONDS;
+  const isBusy = requests >= MIN_BUSY_REQUESTS;
+  const period = isBusy
     ? countMilliseconds
-    : Math.max(countMilliseconds, SELDOM_COUNT_MILLISECONDS);
+    : Math.max(countMilliseconds, MIN_IDLE_COUNT_PERIOD_MILLISECONDS);
   return readAt + period;
 }
 
 /** Whether the group is being formed, or still has its first map. */
-export function isYoung(status: wire.RankStatus): boolean {
+export function isNewlyFormed(status: wire.RankStatus): boolean {
   return !status.open || status.mapVersion === 0;
 }
--- a/packages/daemon/src/rank_group/switch_group.ts
+++ b/packages/daemon/src/rank_group/switch_group.ts
@@ -1,15 +1,15 @@
 import * as common from "@geraniumkeel/common";
 import * as wire from "@geraniumkeel/wire";
-import type * as groupRank from "./group_rank.ts";
+import type * as rankHandle from "./rank_handle.ts";
 import * as mapDifference from "./map_difference.ts";
-import * as insistOrder from "./insist_order.ts";
+import * as orderUntilFinal from "./order_until_final.ts";
 
 /** Tries to hold a pass that has not begun; each takes a later one. */
-const HOLD_TRIES = 8;
+const MAX_HOLD_TRIES = 8;
 /** Time for all ranks to load what a map needs. */
-const PREPARE_MILLISECONDS = 4_000;
+const PREPARE_TIMEOUT_MILLISECONDS = 4_000;
 /** Time for the pass that switches to begin, with requests under way. */
-const SWITCH_MILLISECONDS = 1_000;
+const SWITCH_TIMEOUT_MILLISECONDS = 1_000;
 
 /** How a switch ended. */
 export enum GroupSwitchKind {
@@ -37,11 +37,11 @@
 /** What a switch needs. */
 export interface GroupSwitchParameters {
   /** All ranks of the group. */
-  ports: readonly groupRank.GroupRank[];
+  handles: readonly rankHandle.RankHandle[];
   /** The rank beside the leader. */
-  own: groupRank.GroupRank;
+  own: rankHandle.RankHandle;
   /** Rank at which passes are held: another one's, if there is any. */
-  holder: groupRank.GroupRank;
+  holder: rankHandle.RankHandle;
   /** Never used before in this group, by any leader. */
   version: number;
   map: wire.RankMap;
@@ -50,14 +50,14 @@
   /** Time that a rank loads for each expert that is new to it; 0 if it is not known. */
   copyMilliseconds?: number;
   /** Passes between the one under way and the one that switches, as of now. */
-  leadSteps: () => number;
+  iterationsAhead: () => number;
   /** Whether the leader still is what it was. */
   valid: () => boolean;
   /** Whether demand has changed since the map was planned. */
   outdated: () => boolean;
   /** Tells all ranks which pass is about to be held. */
   announceHold: (step: number) => void;
-  pause: groupRank.Pause;
+  pause: rankHandle.Pause;
 }
 
 /**
@@ -80,7 +80,7 @@
   parameters: GroupSwitchParameters,
 ): Promise<GroupSwitchOutcome> {
   const startedAt = common.now();
-  const { ports, own, holder, version, valid, outdated, pause } = parameters;
+  const { handles, own, holder, version, valid, outdated, pause } = parameters;
   const outcome: GroupSwitchOutcome = {
     kind: GroupSwitchKind.GivenUp,
     detail: "",
@@ -89,15 +89,15 @@
     lastToLoad: -1,
   };
   const prepare = prepareOrder(parameters);
-  const notBegun = await orderAll(ports, prepare);
-  if (notBegun) return { ...outcome, ...endOf(notBegun) };
+  const prepareFailure = await orderAll(handles, prepare);
+  if (prepareFailure) return { ...outcome, ...outcomeOf(prepareFailure) };
   const hasLoaded = () => {
-    const loading = ports.find((port) => !isLoaded(port, version));
+    const loading = handles.find((handle) => !isLoaded(handle, version));
     outcome.lastToLoad = loading?.rank ?? outcome.lastToLoad;
     return loading === undefined;
   };
   const prepared = await waitUntil(
-    PREPARE_MILLISECONDS,
+    PREPARE_TIMEOUT_MILLISECONDS,
     parameters,
     () => outdated() || hasLoaded(),
   );
@@ -106,29 +106,34 @@
   if (!prepared) return { ...outcome, detail: "not loaded in time" };
   const preparedAt = common.now();
   const step = await holdAhead(parameters);
-  if (typeof step !== "number") return { ...outcome, ...endOf(step) };
+  if (typeof step !== "number") return { ...outcome, ...outcomeOf(step) };
   const arm = { kind: wire.RankOrderKind.Arm, version, step } as const;
-  for (const ranks of armingStages(parameters)) {
-    const insisted = { ports: ranks, order: arm, valid, pause };
-    const notArmed = await insistOrder.insistAll(insisted);
-    if (!notArmed) continue;
-    const { detail } = notArmed;
+  for (const stage of armingStages(parameters)) {
+    const armParameters = { handles: stage, order: arm, valid, pause };
+    const armFailure = await orderUntilFinal.orderAllUntilFinal(armParameters);
+    if (!armFailure) continue;
+    const { detail } = armFailure;
     return { ...outcome, kind: GroupSwitchKind.Unfinished, detail };
   }
   const order = { kind: wire.RankOrderKind.Release, step } as const;
-  await insistOrder.insistOrder({ port: holder, order, valid, pause });
+  await orderUntilFinal.orderUntilFinal({
+    handle: holder,
+    order,
+    valid,
+    pause,
+  });
   outcome.armMilliseconds = common.now() - preparedAt;
   // All were armed for one pass, which all ranks begin together.
   await waitUntil(
-    SWITCH_MILLISECONDS,
+    SWITCH_TIMEOUT_MILLISECONDS,
     parameters,
     () => own.status?.mapVersion === version,
   );
   return { ...outcome, kind: GroupSwitchKind.Done };
 }
 
-function isLoaded(port: groupRank.GroupRank, version: number): boolean {
-  return port.status?.preparedVersion === version;
+function isLoaded(handle: rankHandle.RankHandle, version: number): boolean {
+  return handle.status?.preparedVersion === version;
 }
 
 /** The order to load the next map. */
@@ -139,13 +144,13 @@
   copyMilliseconds,
 }: GroupSwitchParameters): wire.RankOrder {
   const kind = wire.RankOrderKind.Prepare;
-  const whole = { kind, version, map, copyMilliseconds } as const;
+  const fullOrder = { kind, version, map, copyMilliseconds } as const;
   // No rank was told the first map of a group.
-  if (!base || base.version <= 0) return whole;
+  if (!base || base.version <= 0) return fullOrder;
   const exchanges = mapDifference.differenceOf(base.map, map);
   const isShorter =
     mapDifference.sizeOfExchanges(exchanges) < mapDifference.sizeOfMap(map);
-  if (!isShorter) return whole;
+  if (!isShorter) return fullOrder;
   const changes: wire.PrepareChanges = {
     kind: wire.RankOrderKind.PrepareChanges,
     version,
@@ -153,7 +158,7 @@
     exchanges: wire.packDocument(exchanges),
     copyMilliseconds,
   };
-  return { ...whole, changes };
+  return { ...fullOrder, changes };
 }
 
 /**
@@ -162,11 +167,13 @@
  * armed. What remains are the few milliseconds from its order to the release.
  */
 function armingStages({
-  ports,
+  handles,
   own,
   holder,
-}: GroupSwitchParameters): groupRank.GroupRank[][] {
-  const others = ports.filter((port) => port !== own && port !== holder);
+}: GroupSwitchParameters): rankHandle.RankHandle[][] {
+  const others = handles.filter(
+    (handle) => handle !== own && handle !== holder,
+  );
   return holder === own ? [others, [own]] : [others, [holder], [own]];
 }
 
@@ -179,29 +186,31 @@
 async function holdAhead(
   parameters: GroupSwitchParameters,
 ): Promise<number | wire.RankReply> {
-  const { holder, ports, announceHold } = parameters;
-  const leadSteps = parameters.leadSteps();
-  const steps = ports.map(({ status }) => status?.step ?? 0);
-  let step = Math.max(...steps) + leadSteps;
+  const { holder, handles, announceHold } = parameters;
+  const iterationsAhead = parameters.iterationsAhead();
+  const steps = handles.map(({ status }) => status?.step ?? 0);
+  let step = Math.max(...steps) + iterationsAhead;
   let reply: wire.RankReply;
   let tries = 0;
   do {
     announceHold(step);
     const order = { kind: wire.RankOrderKind.Hold, step } as const;
-    reply = await holder.orderFromHere(order);
+    reply = await holder.orderDirectly(order);
     if (reply.end === wire.RankOrderEnd.Done) return step;
-    step = Math.max(step, reply.status?.step ?? step) + leadSteps;
+    step = Math.max(step, reply.status?.step ?? step) + iterationsAhead;
     tries++;
-  } while (reply.end === wire.RankOrderEnd.Refused && tries < HOLD_TRIES);
+  } while (reply.end === wire.RankOrderEnd.Refused && tries < MAX_HOLD_TRIES);
   return reply;
 }
 
 /** Gives all ranks an order once; the first reply that is not "done". */
 async function orderAll(
-  ports: readonly groupRank.GroupRank[],
+  handles: readonly rankHandle.RankHandle[],
   order: wire.RankOrder,
 ): Promise<wire.RankReply | undefined> {
-  const replies = await Promise.all(ports.map((port) => port.order(order)));
+  const replies = await Promise.all(
+    handles.map((handle) => handle.order(order)),
+  );
   return replies.find(({ end }) => end !== wire.RankOrderEnd.Done);
 }
 
@@ -218,7 +227,7 @@
   return true;
 }
 
-function endOf(reply: wire.RankReply): {
+function outcomeOf(reply: wire.RankReply): {
   kind: GroupSwitchKind;
   detail: string;
 } {
--- a/packages/stand_ins/src/interleavings/switch_world.ts
+++ b/packages/stand_ins/src/interleavings/switch_world.ts
@@ -162,14 +162,14 @@
     const last =
       this.world.armedLast === ArmedLast.Own ? LEADER_RANK : OTHER_RANK;
     const outcome = await daemon.switchGroup({
-      ports,
+      handles: ports,
       own: ports[last],
       holder: ports[HOLDER_RANK],
       version: NEXT_VERSION,
       map: [[[0], [1], [2]]],
       valid: () => true,
       outdated: () => false,
-      leadSteps: () => 2,
+      iterationsAhead: () => 2,
       announceHold: (step) =>
         this.#announced.push({
           kind: wire.MessageKind.HoldNotice,
@@ -189,27 +189,27 @@
     const ports = this.#portsOf(actor);
     const version = SPARE_VERSIONS[actor];
     for (;;) {
-      const settled = await daemon.settleGroup({
-        ports,
+      const settled = await daemon.recoverSwitch({
+        handles: ports,
         valid: () => true,
         pause: () => this.#pause(actor),
-        announced: this.#announced,
-        spare: async () => ({ version, map: [[[0], [1], [2]]] }),
+        holdNotices: this.#announced,
+        fallback: async () => ({ version, map: [[[0], [1], [2]]] }),
       });
       this.#see(actor, settled.kind);
-      if (settled.kind === daemon.SettlementKind.Nothing) return;
+      if (settled.kind === daemon.SwitchRecoveryKind.Nothing) return;
       await this.#pause(actor);
     }
   }
 
-  #portsOf(actor: Actor): daemon.GroupRank[] {
+  #portsOf(actor: Actor): daemon.RankHandle[] {
     return Array.from({ length: RANKS }, (_, rank) => {
       const order = (given: wire.RankOrder) => this.#order(actor, rank, given);
       return {
         rank,
         status: undefined as wire.RankStatus | undefined,
         order,
-        orderFromHere: order,
+        orderDirectly: order,
         refresh: async () => this.#reaches(actor, rank),
       };
     }).map((port) =>
--- a/packages/stand_ins/src/measure/capacity_gateway.ts
+++ b/packages/stand_ins/src/measure/capacity_gateway.ts
@@ -40,14 +40,14 @@
     const numbersPerReading = group.layers * group.experts;
     const linked = Array.from({ length: group.ranks }, (_, rank) => rank);
     const plan = countPlan.planCounts({
-      linked,
-      numbersPerReading,
+      linkedRanks: linked,
+      countsPerReading: numbersPerReading,
       linkBytesPerSecond: LINK_BYTES_PER_SECOND,
     });
     const bytes = rankBeatBytes(numbersPerReading);
     const perTeller = (bytes * 1_000) / plan.periodMilliseconds;
     const perOther = rankBeatBytes(0) * STATES_PER_SECOND;
-    const tellers = plan.tellers.size;
+    const tellers = plan.reporters.size;
     const others = group.ranks - tellers;
     const atLeader = Math.round(tellers * perTeller + others * perOther);
     return { ...group, bytes, tellers, perTeller, perOther, atLeader };
@@ -106,8 +106,8 @@
 }
 
 function rankBeatBytes(counts: number): number {
-  const beat: wire.RankBeat = {
-    kind: wire.MessageKind.RankBeat,
+  const beat: wire.RankHeartbeat = {
+    kind: wire.MessageKind.RankHeartbeat,
     token: 113_709_290_299_521,
     identity: { group: "g0-1", epoch: 3, rank: 7, size: 64 },
     status: {
--- a/packages/stand_ins/src/measure/group_world/map_leader.ts
+++ b/packages/stand_ins/src/measure/group_world/map_leader.ts
@@ -1,7 +1,7 @@
 import type * as common from "@geraniumkeel/common";
 import * as countPlan from "@geraniumkeel/daemon/rank_group/count_plan";
 import * as demandModule from "@geraniumkeel/daemon/rank_group/demand";
-import * as leadSteps from "@geraniumkeel/daemon/rank_group/lead_steps";
+import * as iterationsAhead from "@geraniumkeel/daemon/rank_group/iterations_ahead";
 import * as mapPlanner from "@geraniumkeel/daemon/rank_group/map_planner";
 import type * as wire from "@geraniumkeel/wire";
 import * as deployment from "./deployment.ts";
@@ -41,7 +41,7 @@
   #next: NextMap | undefined;
   #step = 0;
   readonly #planner: mapPlanner.MapPlanner;
-  readonly #lead = new leadSteps.LeadSteps();
+  readonly #lead = new iterationsAhead.IterationsAhead();
   copies = 0;
   switches = 0;
 
@@ -63,7 +63,7 @@
   /** Reads, loads, switches and plans, as far as it is time for it. */
   onPass(engines: groupEngines.GroupEngines, now: number): void {
     this.#step++;
-    this.#lead.noteStep(this.#step, now);
+    this.#lead.noteIteration(this.#step, now);
     if (!this.#reading) this.#startReading(engines);
     if (this.#next) return this.#goOn(this.#next, engines, now);
     if (now - this.#lookedAt < LOOK_MILLISECONDS) return;
@@ -74,9 +74,9 @@
   #startReading(engines: groupEngines.GroupEngines): void {
     this.#reading = true;
     const { size } = this.run.day;
-    const { tellers, periodMilliseconds } = countPlan.planCounts({
-      linked: Array.from({ length: size.ranks }, (_, rank) => rank),
-      numbersPerReading: size.layers * size.expertsPerLayer,
+    const { reporters: tellers, periodMilliseconds } = countPlan.planCounts({
+      linkedRanks: Array.from({ length: size.ranks }, (_, rank) => rank),
+      countsPerReading: size.layers * size.expertsPerLayer,
       linkBytesPerSecond: size.linkBytesPerMillisecond * 1_000,
     });
     for (const rank of tellers) {
@@ -116,7 +116,7 @@
       return;
     }
     if (now < next.loadedAt) return;
-    if (next.passesLeft < 0) next.passesLeft = this.#lead.steps;
+    if (next.passesLeft < 0) next.passesLeft = this.#lead.count;
     next.passesLeft--;
     if (next.passesLeft > 0) return;
     engines.places = next.places;
@@ -124,7 +124,7 @@
   }
 
   #isOutdated({ shifts }: NextMap, now: number): boolean {
-    this.#demand.noticeShift(now);
+    this.#demand.detectShift(now);
     return this.#demand.shifts !== shifts;
   }
 
--- a/packages/stand_ins/src/system/frozen_leader_test.ts
+++ b/packages/stand_ins/src/system/frozen_leader_test.ts
@@ -46,7 +46,7 @@
     lifeCycle.own({ name: "link", close: () => link.close() });
     const token = 1;
     link.send({
-      kind: wire.MessageKind.LeaderBeat,
+      kind: wire.MessageKind.LeaderHeartbeat,
       token,
       group: "g",
       epoch,
--- a/packages/stand_ins/src/system/rank_group_test.ts
+++ b/packages/stand_ins/src/system/rank_group_test.ts
@@ -30,7 +30,7 @@
   group: rankGroupStandIn.RankGroupStandIn,
   token: number,
   alive: () => boolean = () => true,
-): daemon.GroupRank[] {
+): daemon.RankHandle[] {
   return Array.from({ length: RANKS }, (_, rank) => {
     const order = async (given: wire.RankOrder): Promise<wire.RankReply> => {
       if (!alive()) await silence();
@@ -50,7 +50,7 @@
         return group.status(rank);
       },
       order,
-      orderFromHere: order,
+      orderDirectly: order,
       refresh: async () => true,
     };
   });
@@ -70,21 +70,21 @@
 }
 
 function switchBy(
-  ports: daemon.GroupRank[],
+  ports: daemon.RankHandle[],
   version: number,
   valid: () => boolean = () => true,
   outdated: () => boolean = () => false,
 ): Promise<daemon.GroupSwitchOutcome> {
   const [own, holder] = ports;
   return daemon.switchGroup({
-    ports,
+    handles: ports,
     own,
     holder,
     version,
     map: mapOf(version),
     valid,
     outdated,
-    leadSteps: () => 2,
+    iterationsAhead: () => 2,
     announceHold: () => {},
     pause: daemon.shortPause,
   });
@@ -92,16 +92,16 @@
 
 /** Settles what a leader left; the version that its way back would prepare. */
 async function settle(
-  ports: daemon.GroupRank[],
+  ports: daemon.RankHandle[],
   version: number,
 ): Promise<void> {
-  while (daemon.isHeld(ports)) {
-    await daemon.settleGroup({
-      ports,
+  while (daemon.isAnyHeld(ports)) {
+    await daemon.recoverSwitch({
+      handles: ports,
       valid: () => true,
       pause: daemon.shortPause,
-      announced: [],
-      spare: async () => ({ version, map: mapOf(version) }),
+      holdNotices: [],
+      fallback: async () => ({ version, map: mapOf(version) }),
     });
   }
 }
@@ -225,7 +225,7 @@
     epoch: 1,
   });
   t.is(outcome.end, wire.RankOrderEnd.Refused);
-  t.false(daemon.isHeld(ports));
+  t.false(daemon.isAnyHeld(ports));
 });
 
 // Streams of a whole group stand still for as long as a host is frozen, four seconds
@@ -246,7 +246,7 @@
         return port.status;
       },
       order: noted,
-      orderFromHere: noted,
+      orderDirectly: noted,
       refresh: () => port.refresh(),
     };
   });
--- a/packages/stand_ins/src/system/woken_leader_test.ts
+++ b/packages/stand_ins/src/system/woken_leader_test.ts
@@ -45,7 +45,7 @@
   const lead = async () => {
     const link = await rankProcesses.dialRank(WOKEN, linkPort);
     const timer = setInterval(() => {
-      const kind = wire.MessageKind.LeaderBeat;
+      const kind = wire.MessageKind.LeaderHeartbeat;
       const countMilliseconds = 0;
       const token = HIGHER_TOKEN;
       link.send({ kind, token, group: "g", epoch, countMilliseconds });
--- a/packages/wire/src/compact.ts
+++ b/packages/wire/src/compact.ts
@@ -1,5 +1,5 @@
 import * as compactMeshBeat from "./compact_mesh_beat.ts";
-import * as compactRankBeat from "./compact_rank_beat.ts";
+import * as compactRankHeartbeat from "./compact_rank_heartbeat.ts";
 import * as isNumbers from "./is_numbers.ts";
 import type * as load from "./load.ts";
 import type * as message from "./message.ts";
@@ -53,8 +53,8 @@
       ];
     case messageKind.MessageKind.MeshBeat:
       return compactMeshBeat.meshBeatToList(value);
-    case messageKind.MessageKind.RankBeat:
-      return compactRankBeat.rankBeatToList(value);
+    case messageKind.MessageKind.RankHeartbeat:
+      return compactRankHeartbeat.rankHeartbeatToList(value);
     default:
       return undefined;
   }
@@ -65,8 +65,8 @@
   switch (list[0] as messageKind.MessageKind) {
     case messageKind.MessageKind.MeshBeat:
       return compactMeshBeat.meshBeatFromList(list);
-    case messageKind.MessageKind.RankBeat:
-      return compactRankBeat.rankBeatFromList(list);
+    case messageKind.MessageKind.RankHeartbeat:
+      return compactRankHeartbeat.rankHeartbeatFromList(list);
     default:
       return fromNumbers(list);
   }
--- a/packages/wire/src/compact_rank_beat.ts
+++ b/packages/wire/src/compact_rank_heartbeat.ts
@@ -25,11 +25,13 @@
  * hundreds of them a second: by names a state takes five times the bytes, and more of a
  * small host's processor than what it says.
  */
-export function rankBeatToList(beat: rankGroup.RankBeat): unknown[] {
-  const { token, identity, status, chosen } = beat;
+export function rankHeartbeatToList(
+  heartbeat: rankGroup.RankHeartbeat,
+): unknown[] {
+  const { token, identity, status, chosen } = heartbeat;
   const { group, epoch, rank, size } = identity;
   return [
-    beat.kind,
+    heartbeat.kind,
     group,
     token,
     epoch,
@@ -42,16 +44,16 @@
 }
 
 /** The beat of a list, or `undefined` if it is none. */
-export function rankBeatFromList(
+export function rankHeartbeatFromList(
   list: unknown[],
-): rankGroup.RankBeat | undefined {
+): rankGroup.RankHeartbeat | undefined {
   const [, group, ...numbers] = list;
   if (typeof group !== "string" || !isNumbers.isNumbers(numbers))
     return undefined;
   if (list.length < HEAD_LENGTH + STATUS_FIELDS.length) return undefined;
   const [token, epoch, rank, size, open, ...rest] = numbers;
   return {
-    kind: messageKind.MessageKind.RankBeat,
+    kind: messageKind.MessageKind.RankHeartbeat,
     token,
     identity: { group, epoch, rank, size },
     status: { open: open === 1, ...statusNumbers(rest) },
--- a/packages/wire/src/compact_test.ts
+++ b/packages/wire/src/compact_test.ts
@@ -27,9 +27,9 @@
   };
 }
 
-function createRankBeat(chosen: number[]): rankGroup.RankBeat {
+function createRankBeat(chosen: number[]): rankGroup.RankHeartbeat {
   return {
-    kind: messageKind.MessageKind.RankBeat,
+    kind: messageKind.MessageKind.RankHeartbeat,
     token: 114_353_838_688_768,
     identity: { group: "g0-1", epoch: 2, rank: 5, size: 96 },
     status: {
@@ -89,8 +89,8 @@
   for (const frame of [
     [messageKind.MessageKind.MeshBeat, 1, 2],
     [messageKind.MessageKind.MeshBeat, 1, 2, 3, 4, 5, 6, 7, 8, "i-1"],
-    [messageKind.MessageKind.RankBeat, "g", 1, 2],
-    [messageKind.MessageKind.RankBeat, 1, 2, 3, 4, 5, 6, 7],
+    [messageKind.MessageKind.RankHeartbeat, "g", 1, 2],
+    [messageKind.MessageKind.RankHeartbeat, 1, 2, 3, 4, 5, 6, 7],
     [messageKind.MessageKind.Heartbeat, "1", 2],
   ]) {
     t.true(codec.decode(codec.encode(frame as never)).isErr());
--- a/packages/wire/src/message.ts
+++ b/packages/wire/src/message.ts
@@ -96,8 +96,8 @@
   | mesh.MeshConfiguration
   | mesh.MeshRunners
   | rankGroup.RankHello
-  | rankGroup.LeaderBeat
-  | rankGroup.RankBeat
+  | rankGroup.LeaderHeartbeat
+  | rankGroup.RankHeartbeat
   | rankGroup.RankCommand
   | rankGroup.RankReply
   | rankGroup.RankListsRequest
--- a/packages/wire/src/rank_group.ts
+++ b/packages/wire/src/rank_group.ts
@@ -44,8 +44,8 @@
 }
 
 /** What the leader of a group tells all its ranks several times a second. */
-export interface LeaderBeat {
-  kind: messageKind.MessageKind.LeaderBeat;
+export interface LeaderHeartbeat {
+  kind: messageKind.MessageKind.LeaderHeartbeat;
   token: number;
   group: string;
   epoch: number;
@@ -54,8 +54,8 @@
 }
 
 /** What a rank tells its leader several times a second. */
-export interface RankBeat {
-  kind: messageKind.MessageKind.RankBeat;
+export interface RankHeartbeat {
+  kind: messageKind.MessageKind.RankHeartbeat;
   token: number;
   identity: RankIdentity;
   status: RankStatus;
