--- a/packages/daemon/src/rank_group/group_leader.ts
+++ b/packages/daemon/src/rank_group/group_leader.ts
@@ -11,9 +11,13 @@
 import * as recoverSwitch from "./recover_switch.ts";
 import * as switchGroup from "./switch_group.ts";
 
-/** How often it is looked whether demand has shifted, in milliseconds. */
+/** Interval at which the leader checks its ranks, and demand for a shift. */
 const POLL_MILLISECONDS = 50;
-/** Versions of maps are times, so that no two leaders use one for two maps. */
+/**
+ * Versions are derived from the time in milliseconds, and each rank uses its
+ * own remainder modulo 64. So two leaders never use the same version for two
+ * maps.
+ */
 const VERSIONS_PER_MILLISECOND = 64;
 
 /** What leading a group needs. */
@@ -22,34 +26,57 @@
   handles: linkedRank.LinkedRank[];
   own: linkedRank.LinkedRank;
   shape: traffic.EngineShape;
-  /** Longest pause between two events that is in time; 0 if none is told. */
+  /**
+   * Longest pause between two events of a stream that still counts as on time,
+   * in milliseconds; 0 if no route sets one.
+   */
   gapMilliseconds: number;
-  /** Demand as this process saw it; it may know it from a term before. */
+  /**
+   * Demand as this process counted it; may include counts of an earlier term.
+   */
   demand: demandModule.Demand;
-  /** Whether this process still leads this forming of the group. */
+  /** Whether this process still leads this group epoch. */
   valid: () => boolean;
   onSuperseded: (detail: string) => void;
-  /** Tells all ranks what is about to be held, and where. */
+  /**
+   * Notifies all ranks which iteration is about to be held, and by which rank.
+   */
   announceHold: (holder: number, step: number) => void;
-  /** Holds of this forming of the group that this process was told of. */
+  /**
+   * The announcements of held iterations that this process received in this
+   * group epoch.
+   */
   holdNotices: () => readonly wire.HoldNotice[];
-  /** A map of an earlier order, if this process remembers it. */
+  /**
+   * The map of a version that this process prepared earlier; `undefined` if it
+   * is no longer cached.
+   */
   rememberedMap: (version: number) => wire.RankMap | undefined;
   logger: common.Logger;
 }
 
-/** Keeps the map of one group close to demand, while its process leads it. */
+/**
+ * Leads one group during a term: switches it to a new map whenever demand has
+ * moved away from the map in force, and recovers switches that an earlier
+ * leader left unfinished.
+ */
 export class GroupLeader {
-  /** Map in force, and its version. */
+  /**
+   * The map in force and its version, as far as this leader knows them; version
+   * -1 if it has to read them from the ranks.
+   */
   #map: wire.RankMap | undefined;
   #mapVersion = -1;
   #lastVersion = 0;
   #switching = false;
   readonly #planner: mapPlanner.MapPlanner;
   readonly #iterationsAhead = new iterationsAhead.IterationsAhead();
-  /** When it was last looked for a shift of demand. */
+  /** Time of the last check whether demand has shifted. */
   #shiftCheckedAt = -Infinity;
-  /** How settling ended last; waiting for a rank is told once. */
+  /**
+   * Kind and detail of the last recovery. A recovery that repeats, such as one
+   * that waits for a rank, is logged once.
+   */
   #lastRecovery = "";
 
   constructor(readonly parameters: GroupLeaderParameters) {
@@ -62,17 +89,17 @@
     });
   }
 
-  /** Whether a switch is under way. */
+  /** Whether a switch is in progress. */
   get switching(): boolean {
     return this.#switching;
   }
 
-  /** Takes what a rank counted, layer after layer. */
+  /** Adds the activations that a rank counted, layer after layer. */
   addCounts(rank: number, chosen: number[]): void {
     this.parameters.demand.add(rank, chosen, common.now());
   }
 
-  /** Leads until it is no longer valid. */
+  /** Leads until this process no longer leads the group epoch. */
   async lead(signal: AbortSignal): Promise<void> {
     const { valid, handles } = this.parameters;
     while (!signal.aborted && valid()) {
@@ -85,7 +112,10 @@
     }
   }
 
-  /** Reads ranks whose process says nothing from their engines. */
+  /**
+   * Reads the state of ranks directly from their engines if the processes
+   * beside them have sent none recently.
+   */
   async #refreshUnreachable(): Promise<void> {
     const unreachable = this.parameters.handles.filter(
       (handle) => !handle.fresh,
@@ -123,6 +153,7 @@
     return map && { version: this.#nextVersion(), map };
   }
 
+  /** Plans a new map if it is time to, and switches to it if it pays. */
   async #improveMap(): Promise<void> {
     const { handles, shape, identity } = this.parameters;
     const armed = handles.some(({ status }) => (status?.armedVersion ?? 0) > 0);
@@ -227,13 +258,16 @@
     this.#iterationsAhead.noteIteration(step, common.now());
   }
 
-  /** While a map was loaded passes have become longer, or shorter. */
+  /**
+   * How many iterations ahead to switch. Measures the current iteration first,
+   * because its length may have changed while the ranks loaded the map.
+   */
   #iterationsAheadNow(): number {
     this.#noteIteration();
     return this.#iterationsAhead.count;
   }
 
-  /** Whether demand has shifted once more since so many shifts were seen. */
+  /** Whether demand has shifted again since the given number of shifts. */
   #hasShiftedSince(shifts: number): boolean {
     const { demand } = this.parameters;
     const now = common.now();
@@ -244,7 +278,11 @@
     return demand.shifts !== shifts;
   }
 
-  /** The map in force, read from the ranks unless this leader made it. */
+  /**
+   * The map in force. Reads it from the ranks unless this leader switched to
+   * it. `undefined` if the ranks do not agree on one, or one of them does not
+   * answer.
+   */
   async #currentMap(): Promise<wire.RankMap | undefined> {
     const { handles } = this.parameters;
     const versions = handles.map(({ status }) => status?.mapVersion);
@@ -264,8 +302,9 @@
   }
 
   /**
-   * The rank at which passes are held: one whose process is there, as it releases
-   * the pass for nothing, and takes over at once if this host freezes meanwhile.
+   * The rank that holds the iteration of a switch: if possible one whose
+   * process is linked. That process releases the iteration at no cost, and it
+   * takes over at once if this host freezes during the switch.
    */
   #chooseHolder(): linkedRank.LinkedRank {
     const { handles, own } = this.parameters;
@@ -278,9 +317,10 @@
   }
 
   /**
-   * A version higher than all that any rank has had, and used by nobody else. Two
-   * leaders that both took the next number would each find the other's map prepared
-   * and take it for their own: ranks would switch to two maps of one version.
+   * A version that is higher than any that a rank has had and that no other
+   * process uses. If two leaders both used the next number, each would find the
+   * other's map prepared and take it for its own; the ranks would then switch
+   * to two different maps of one version.
    */
   #nextVersion(): number {
     const { handles, identity } = this.parameters;
--- a/packages/daemon/src/rank_group/rank_links.ts
+++ b/packages/daemon/src/rank_group/rank_links.ts
@@ -169,7 +169,7 @@
       if (runner.service !== service) continue;
       if (linked.has(runner.address)) continue;
       linked.add(runner.address);
-      lifeCycle.run("rank", async () => {
+      lifeCycle.run("link to rank", async () => {
         await this.#serveRank(runner, signal);
         linked.delete(runner.address);
       });
--- a/packages/daemon/src/rank_group/rank_process.ts
+++ b/packages/daemon/src/rank_group/rank_process.ts
@@ -16,34 +16,40 @@
 import * as readGroupModel from "./read_group_model.ts";
 
 /**
- * Silence of a leader after which a rank takes its place: over three beats, and more
- * the higher the rank, so that one of them does.
+ * Time since the last heartbeat of the leader after which a rank takes over:
+ * more than three heartbeat intervals. The time grows with the number of the
+ * rank, so that ranks do not take over at the same moment.
  */
 const LEADER_TIMEOUT_MILLISECONDS = 700;
 const TIMEOUT_STAGGER_MILLISECONDS = 250;
 /**
- * Silence of a leader after which a rank takes its place while it holds a pass: the
- * group is about to stand still. One beat and a half: a switch holds a pass for some
- * 50 ms, and a leader that is succeeded too early loses that one switch.
+ * The same timeout for a rank that holds an iteration, since the group is about
+ * to stall: one and a half heartbeat intervals. A switch holds an iteration for
+ * some 50 ms. A leader that is replaced too early loses only that switch.
  */
 const HOLDER_LEADER_TIMEOUT_MILLISECONDS = 300;
 /**
- * The same after a rank has told of a newer leader. A process that wakes from a freeze
- * is linked anew within a second; taking the lead back meanwhile, it undoes the switch
- * that its successor has begun. Should that one die, other ranks are less patient.
+ * The same timeout after a rank reported a newer leader. A process that resumes
+ * after a freeze is linked again within a second; if it took the lead back in
+ * that time, it would undo the switch that its successor has begun. If the
+ * successor fails, other ranks take over sooner.
  */
 const SUPERSEDED_LEADER_TIMEOUT_MILLISECONDS = 2_000;
-/** How often it is looked whether there is a leader. */
+/** Interval at which the process checks whether there is a leader. */
 const POLL_MILLISECONDS = 50;
-/** Longest time that a stopping process waits for its switch to end. */
+/** How long a process that stops waits for its switch to finish. */
 const DRAIN_TIMEOUT_MILLISECONDS = 3_000;
 const DRAIN_POLL_MILLISECONDS = 20;
 /**
- * Age up to which demand seen in the term before is planned by: a group is formed
- * anew in two to three seconds, and what is liked changes every few seconds.
+ * Up to this age, demand from an earlier term is used for planning. A group is
+ * re-formed within two to three seconds, and the popular experts change every
+ * few seconds.
  */
 const MAX_DEMAND_AGE_MILLISECONDS = 5_000;
-/** Tokens are times: a process that starts anew goes on above its last one. */
+/**
+ * Fencing tokens are derived from the time, so that a restarted process uses
+ * higher ones than before. Each rank adds its number to its tokens.
+ */
 const TOKENS_PER_MILLISECOND = 64;
 
 /** What the process beside a rank needs. */
@@ -51,11 +57,14 @@
   host: string;
   service: string;
   engine: rankEngine.RankEngine;
-  /** Engine of another runner, for while the process beside it is away. */
+  /**
+   * Connects to the engine of another runner directly, for the time in which
+   * the process beside that runner is away.
+   */
   engineAt: (runner: traffic.RunnerEntry) => rankEngine.RankEngine;
-  /** Port on which all these processes accept links. */
+  /** Port on which all processes beside ranks accept links. */
   linkPort: number;
-  /** What the link of this host carries. */
+  /** Bytes per second that the network link of this host carries. */
   linkBytesPerSecond: number;
   configurationSource: traffic.DocumentSource<traffic.TrafficConfiguration>;
   runnerSource: traffic.DocumentSource<traffic.RunnerList>;
@@ -63,7 +72,7 @@
   lifeCycle: common.LifeCycle;
 }
 
-/** A leadership under way. */
+/** A term of this process as leader. */
 interface Term {
   token: number;
   identity: wire.RankIdentity;
@@ -73,18 +82,23 @@
 }
 
 /**
- * The process beside one rank. It reads its engine, tells the group's leader, and
- * carries out the leader's orders. When no leader is heard it leads itself; that
- * there is one leader at a time is likely, and safety does not rest on it.
+ * The process beside one rank of a group. It reads the state of its engine,
+ * reports it to the group's leader, and carries out the leader's orders. If no
+ * leader sends heartbeats, it becomes the leader itself. Normally there is one
+ * leader at a time, but safety does not depend on that (see `switchGroup` and
+ * `recoverSwitch`).
  */
 export class RankProcess {
   readonly #member: rankMember.RankMember;
   readonly #follower: leaderFollower.LeaderFollower;
   #term: Term | undefined;
   #stopping = false;
-  /** When a rank last told that another process leads by a higher token. */
+  /**
+   * When a rank last reported that another process leads with a higher fencing
+   * token.
+   */
   #supersededAt = -Infinity;
-  /** Demand as seen in the latest term of this process. */
+  /** Demand as counted in the latest term of this process. */
   #demand: demandModule.Demand | undefined;
 
   constructor(readonly parameters: RankProcessParameters) {
@@ -95,11 +109,11 @@
       ...parameters,
       member: this.#member,
       ownToken: () => this.#term?.token ?? -1,
-      onNewerLeader: () => this.#endTerm("a newer leader"),
+      onNewerLeader: () => this.#endTerm("a newer leader sent a heartbeat"),
     });
   }
 
-  /** Starts reading the engine, accepting links, and looking for a leader. */
+  /** Starts to read the engine, to accept links and to watch for a leader. */
   start(linkServer: http.Server): void {
     const { lifeCycle } = this.parameters;
     const accepting = wire.acceptLinks({
@@ -115,13 +129,14 @@
     });
     lifeCycle.own({ name: "links", close: () => accepting.close() });
     lifeCycle.run("watch", (signal) => this.#member.watch(signal));
-    lifeCycle.run("tell", (signal) => this.#reportToLeader(signal));
+    lifeCycle.run("report", (signal) => this.#reportToLeader(signal));
     lifeCycle.run("lead", (signal) => this.#leadWhenLeaderless(signal));
   }
 
   /**
-   * Leads no more, and resolves when the switch under way has ended: left halfway
-   * it would hold the group until another rank has taken over.
+   * Stops leading. Resolves when the switch in progress is complete, or after
+   * the time limit: if the process stopped in the middle of a switch, the group
+   * would stand still until another rank has taken over.
    */
   async drain(): Promise<void> {
     this.#stopping = true;
@@ -132,7 +147,7 @@
     this.#endTerm("stopping");
   }
 
-  /** The state dump. */
+  /** State of this process for the state dump. */
   describe(): unknown {
     return {
       identity: this.#member.identity,
@@ -143,7 +158,7 @@
     };
   }
 
-  /** What this process is to its group. */
+  /** The role of this process in its group. */
   #role(): readingPlan.GroupRole {
     const { leader } = this.#term ?? {};
     if (leader?.switching) return readingPlan.GroupRole.Switching;
@@ -156,7 +171,10 @@
       : readingPlan.GroupRole.Leaderless;
   }
 
-  /** Tells the leader each time the engine was read. */
+  /**
+   * Reports the state of the engine and its activations to the leader after
+   * each reading.
+   */
   async #reportToLeader(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
       await this.#member.changed.next(LEADER_TIMEOUT_MILLISECONDS, signal);
@@ -172,6 +190,7 @@
     }
   }
 
+  /** Takes over the lead each time the group has no leader. */
   async #leadWhenLeaderless(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
       const { identity } = this.#member;
@@ -194,7 +213,10 @@
     }
   }
 
-  /** Silence of the leader after which this process leads, in milliseconds. */
+  /**
+   * Time since the leader's last heartbeat after which this process takes over,
+   * in milliseconds.
+   */
   #leaderTimeout({ rank }: wire.RankIdentity): number {
     const isHolding = (this.#member.status?.heldStep ?? -1) >= 0;
     if (isHolding) return HOLDER_LEADER_TIMEOUT_MILLISECONDS;
@@ -205,17 +227,21 @@
   }
 
   /**
-   * Whether the group that this process led was formed anew, and nobody else has
-   * taken the lead. It begins with its first map, under which the slowest rank has
-   * almost three times the mean, while a backlog waits: that there is no leader is
-   * certain, and a silence of 0.7 s need not show it first.
+   * Whether the group that this process led was re-formed and no other process
+   * leads it yet. Then there is certainly no leader, and this process leads at
+   * once instead of waiting 0.7 s for a heartbeat. A re-formed group uses its
+   * first map, under which the slowest rank takes almost three times the mean,
+   * while a backlog of requests waits.
    */
   #isReformedSince(led: wire.RankIdentity): boolean {
     if (this.#follower.follows) return false;
     return this.#member.identity?.epoch !== led.epoch;
   }
 
-  /** Leads the group as long as it stays as it is and nobody else does. */
+  /**
+   * Leads the group for one term: until its epoch changes or another process
+   * leads.
+   */
   async #lead(identity: wire.RankIdentity, signal: AbortSignal): Promise<void> {
     const { logger } = this.parameters;
     const token = Math.max(
@@ -232,7 +258,8 @@
     const code = common.EventCode.CoordinatorChanged;
     logger.event(code, { group, epoch, rank, token, leads: true });
     const termSignal = AbortSignal.any([signal, ended.signal]);
-    // The links to all ranks end with it.
+    // Each link to a rank adds a listener to this signal, which would exceed
+    // the default limit of listeners.
     events.EventEmitter.setMaxListeners(0, termSignal);
     try {
       await this.#runTerm(term, termSignal);
@@ -251,6 +278,10 @@
     this.parameters.logger.event(code, { group, epoch, leads: false, reason });
   }
 
+  /**
+   * Links with all ranks, reads the group's model, and runs the leader until
+   * the term ends.
+   */
   async #runTerm(term: Term, signal: AbortSignal): Promise<void> {
     const { lifeCycle, logger } = this.parameters;
     const { links } = term;
@@ -319,16 +350,17 @@
       onHigherToken: (higher) => {
         this.#supersededAt = common.now();
         this.#member.acceptToken(higher);
-        this.#endTerm("a higher token is known");
+        this.#endTerm("a higher fencing token is known");
       },
     });
   }
 
   /**
-   * What is known of demand at the beginning of a term. When one rank is lost its
-   * group is formed anew with its first map, under the same process and the same
-   * demand: the next map is loaded while the first requests are read, and not
-   * after the first passes have shown once more what is chosen.
+   * Demand at the beginning of a term. When a rank is lost, its group is
+   * re-formed with its first map, while this process and the demand stay the
+   * same. With the earlier counts the leader can have the next map loaded while
+   * the engines read the first prompts, instead of counting activations for
+   * some iterations first.
    */
   #demandFor(shape: traffic.EngineShape): demandModule.Demand {
     const earlier = this.#demand;
--- a/packages/daemon/src/rank_group/recover_switch.ts
+++ b/packages/daemon/src/rank_group/recover_switch.ts
@@ -2,61 +2,84 @@
 import type * as rankHandle from "./rank_handle.ts";
 import * as orderUntilFinal from "./order_until_final.ts";
 
-/** How settling ended. */
+/**
+ * Outcome of an attempt to recover a switch that an earlier leader left
+ * unfinished.
+ */
 export enum SwitchRecoveryKind {
-  /** No pass is held. */
+  /** No rank holds an iteration, so there is nothing to recover. */
   Nothing = "nothing",
-  /** All ranks were armed: the switch goes on. */
+  /**
+   * All ranks were armed for the same switch: the iteration was released, and
+   * all use the new map from it on.
+   */
   RolledForward = "forward",
-  /** No rank is armed any more: all keep the map that they had. */
+  /**
+   * No rank is armed any longer: the iteration was released, and all ranks
+   * continue with the map that they had.
+   */
   RolledBack = "back",
-  /** Some rank has to be heard first. */
+  /**
+   * The iteration is still held: a rank must answer, or change its state,
+   * first.
+   */
   Waiting = "waiting",
 }
 
-/** How settling ended, and why. */
+/** How a recovery turned out, with a reason for the log. */
 export interface SwitchRecovery {
   kind: SwitchRecoveryKind;
   detail: string;
 }
 
-/** A map that ranks can take without loading anything, under a new version. */
+/**
+ * A map that a rank can be ordered to prepare instead of the one it has
+ * prepared, so that it can no longer be armed for the latter. It is a map that
+ * the ranks can use without loading anything, under a new version.
+ */
 export interface FallbackMap {
-  /** Never used before in this group, by any leader. */
+  /** A version that no leader has used in this group before. */
   version: number;
   map: wire.RankMap;
 }
 
-/** A pass that a rank holds. */
+/** An iteration that a rank does not begin before a release. */
 interface HeldIteration {
   handle: rankHandle.RankHandle;
   step: number;
 }
 
-/** What settling needs. */
+/** What the recovery of a switch needs. */
 export interface RecoverSwitchParameters {
   handles: readonly rankHandle.RankHandle[];
   valid: () => boolean;
   pause: rankHandle.Pause;
-  /** The holds that leaders of this forming of the group announced. */
+  /**
+   * The announcements of held iterations that this process received in the
+   * current group epoch.
+   */
   holdNotices: readonly wire.HoldNotice[];
   fallback: () => Promise<FallbackMap | undefined>;
 }
 
 /**
- * Settles what a leader before left: a pass that is held, with some ranks armed. A
- * group that stands still costs every stream of its model; two maps in one pass
- * cost the promise. Three rules keep these apart, whoever settles, also several at
- * once:
+ * Recovers a switch that an earlier leader left unfinished: a rank holds an
+ * iteration, and some ranks are armed for a new map. While the iteration is
+ * held, every stream of the group's model stalls. If it were released with only
+ * some ranks armed, the ranks would use two maps in one iteration, which must
+ * never happen. Three rules prevent both, whichever process recovers the
+ * switch, and also when several do so at once:
  *
- * - A pass is released only when all ranks are armed alike, or none is and none can
- *   be.
- * - The way back begins at a rank that is not armed: it is given another version to
- *   prepare, after which it can never be armed with the one before, and no leader
- *   can find all ranks armed. Only then is any other rank disarmed. At a rank that
- *   was armed meanwhile the engine refuses, and nothing has changed.
- * - No rank is armed here. So a rank that nobody reaches is not armed if it is the
- *   one beside the leader that held the pass: that one is armed after all others.
+ * - An iteration is released only when all ranks are armed for the same switch,
+ *   or when no rank is armed and none can be any more.
+ * - Rolling back begins at a rank that is not armed. It is ordered to prepare
+ *   another version; after that it can never be armed for the version before,
+ *   so no leader can find all ranks armed. Only then are the other ranks
+ *   disarmed. If that first rank was armed in the meantime, its engine refuses
+ *   the order, and nothing has changed.
+ * - A recovery arms no rank. So if the one rank that cannot be reached is the
+ *   rank beside the leader that held the iteration, it is known not to be armed
+ *   while any other rank is not: a leader arms its own rank after all others.
  */
 export async function recoverSwitch(
   parameters: RecoverSwitchParameters,
@@ -71,7 +94,10 @@
   if (!unarmed) {
     if (missing.length > 0) return waitingForRanks(missing);
     if (!areArmedForSameSwitch(reached))
-      return recoveryOf(SwitchRecoveryKind.Waiting, "mixed");
+      return recoveryOf(
+        SwitchRecoveryKind.Waiting,
+        "ranks are armed for different switches",
+      );
     await release(held, parameters);
     return recoveryOf(SwitchRecoveryKind.RolledForward, "");
   }
@@ -86,7 +112,7 @@
   return step >= 0 ? [{ handle, step }] : [];
 }
 
-/** Whether some rank holds a pass, as last heard. */
+/** Whether any rank holds an iteration, by the latest state received. */
 export function isAnyHeld(handles: readonly rankHandle.RankHandle[]): boolean {
   return handles.some(({ status }) => (status?.heldStep ?? -1) >= 0);
 }
@@ -100,10 +126,10 @@
   const { reached, unarmed, held, parameters } = rollback;
   const fallback = await parameters.fallback();
   if (!fallback)
-    return recoveryOf(SwitchRecoveryKind.Waiting, "no map is known");
+    return recoveryOf(SwitchRecoveryKind.Waiting, "no fallback map is known");
   const isReplaced = await replacePrepared(unarmed, fallback, parameters);
   if (!isReplaced)
-    return recoveryOf(SwitchRecoveryKind.Waiting, "armed meanwhile");
+    return recoveryOf(SwitchRecoveryKind.Waiting, "a rank was armed meanwhile");
   const others = reached.filter((handle) => handle !== unarmed);
   const disarmed = await Promise.all(
     others.map((handle) => disarmForGood(handle, fallback, parameters)),
@@ -115,7 +141,10 @@
   return recoveryOf(SwitchRecoveryKind.RolledBack, "");
 }
 
-/** Has a rank that is not armed prepare another version; false if it refuses. */
+/**
+ * Orders a rank that is not armed to prepare another version. Returns false if
+ * the rank is armed, if its state is unknown, or if `valid` turns false first.
+ */
 async function replacePrepared(
   handle: rankHandle.RankHandle,
   { version, map }: FallbackMap,
@@ -127,14 +156,18 @@
     await handle.refresh();
     const { status } = handle;
     if (!status || status.armedVersion > 0) return false;
-    // A higher one is another leader's, and as good.
+    // A higher version comes from another leader and serves the same purpose.
     if (status.preparedVersion >= version) return true;
     await pause();
   } while (valid());
   return false;
 }
 
-/** Disarms a rank for good: copies of the order to arm may still be on their way. */
+/**
+ * Disarms a rank permanently. Disarming alone is not enough, because copies of
+ * the order to arm may still be in transit; the rank is also ordered to prepare
+ * another version. Returns false if `valid` turns false first.
+ */
 async function disarmForGood(
   handle: rankHandle.RankHandle,
   fallback: FallbackMap,
@@ -164,7 +197,10 @@
   }
 }
 
-/** Whether a rank is armed after all others in the switch that holds the pass. */
+/**
+ * Whether the leader that held the iteration arms this rank after all others,
+ * which is so for its own rank. False if ranks hold several iterations.
+ */
 function isArmedLast(
   handle: rankHandle.RankHandle,
   held: readonly HeldIteration[],
--- a/packages/daemon/src/rank_group/switch_group.ts
+++ b/packages/daemon/src/rank_group/switch_group.ts
@@ -4,77 +4,97 @@
 import * as mapDifference from "./map_difference.ts";
 import * as orderUntilFinal from "./order_until_final.ts";
 
-/** Tries to hold a pass that has not begun; each takes a later one. */
+/**
+ * How often a switch tries to hold an iteration, each time a later one. A try
+ * fails if the iteration has already begun.
+ */
 const MAX_HOLD_TRIES = 8;
-/** Time for all ranks to load what a map needs. */
+/** Time limit for all ranks to load the experts that a map needs. */
 const PREPARE_TIMEOUT_MILLISECONDS = 4_000;
-/** Time for the pass that switches to begin, with requests under way. */
+/** Time limit for the iteration of the switch to begin while requests run. */
 const SWITCH_TIMEOUT_MILLISECONDS = 1_000;
 
-/** How a switch ended. */
+/** Outcome of a switch. */
 export enum GroupSwitchKind {
   Done = "done",
-  /** Nothing was armed; all ranks keep the map they had. */
+  /** No rank was armed; all ranks keep the map that they had. */
   GivenUp = "given-up",
-  /** The same, as demand changed while the map was loaded. */
+  /** As `GivenUp`, because demand changed while the ranks loaded the map. */
   Outdated = "outdated",
-  /** Another process leads. */
+  /** A higher fencing token is in use: another process leads the group. */
   Superseded = "superseded",
-  /** A pass is held and has to be settled. */
+  /** A rank still holds an iteration, which `recoverSwitch` must release. */
   Unfinished = "unfinished",
 }
 
-/** How a switch ended, with the time of its stages in milliseconds. */
+/** Outcome of a switch, with the duration of its stages in milliseconds. */
 export interface GroupSwitchOutcome {
   kind: GroupSwitchKind;
   detail: string;
   prepareMilliseconds: number;
   armMilliseconds: number;
-  /** Rank that loaded the map last, or that did not load it; -1 if none was told. */
+  /**
+   * The rank that was last seen without the loaded map; -1 if none was seen.
+   */
   lastToLoad: number;
 }
 
 /** What a switch needs. */
 export interface GroupSwitchParameters {
-  /** All ranks of the group. */
+  /** Handles of all ranks of the group. */
   handles: readonly rankHandle.RankHandle[];
   /** The rank beside the leader. */
   own: rankHandle.RankHandle;
-  /** Rank at which passes are held: another one's, if there is any. */
+  /**
+   * The rank that holds the iteration: another than the leader's own, if the
+   * group has one.
+   */
   holder: rankHandle.RankHandle;
-  /** Never used before in this group, by any leader. */
+  /** A version that no leader has used in this group before. */
   version: number;
   map: wire.RankMap;
-  /** The map in force, to which the next one is told as changes. */
+  /**
+   * The map in force. The next map is sent as changes to it where that is
+   * shorter.
+   */
   base?: { version: number; map: wire.RankMap };
-  /** Time that a rank loads for each expert that is new to it; 0 if it is not known. */
+  /**
+   * Time that a rank takes to load each expert that is new to it; 0 if unknown.
+   */
   copyMilliseconds?: number;
-  /** Passes between the one under way and the one that switches, as of now. */
+  /**
+   * How many iterations after the current one the switch takes place. Read
+   * again just before the hold.
+   */
   iterationsAhead: () => number;
-  /** Whether the leader still is what it was. */
+  /**
+   * Whether this process still leads the group epoch in which the switch began.
+   */
   valid: () => boolean;
   /** Whether demand has changed since the map was planned. */
   outdated: () => boolean;
-  /** Tells all ranks which pass is about to be held. */
+  /** Notifies all ranks which iteration is about to be held. */
   announceHold: (step: number) => void;
   pause: rankHandle.Pause;
 }
 
 /**
- * Switches all ranks of a group to a new map in one pass. A rank that is armed
- * uses the map from that pass on, whatever the others do, so the pass is held
- * before the first rank is armed and released after the last one is. All engines
- * wait for the slowest, so one held rank holds the group.
+ * Switches all ranks of a group to a new map at one iteration. An armed rank
+ * uses the new map from that iteration on, whatever the others do. So one rank
+ * holds the iteration before the first rank is armed, and releases it after the
+ * last one is. All engines wait for the slowest in each iteration, so one rank
+ * that holds an iteration stops the group.
  *
- * The leader's host may freeze at any moment, with its engine out of reach. So the
- * pass is held at another host, and the leader's own rank is armed after all
- * others: as long as one of these is not armed, the rank that nobody can ask is not
- * armed either, and a successor may go back (`settle_group.ts`). A group stood
- * still for 4 s, as long as the host did, when the pass was held beside the leader.
+ * The leader's host may freeze at any moment, and its engine is then out of
+ * reach. Therefore a rank on another host holds the iteration, and the leader's
+ * own rank is armed after all others: while one of these is not armed, the
+ * unreachable rank is not armed either, and a successor can roll back
+ * (`recover_switch.ts`). If the leader's own rank held the iteration, a host
+ * that freezes for 4 s would stop the group for 4 s.
  *
- * A map that no longer fits demand is left unused before anything is armed. Switched to
- * all the same, it holds up the next one by all that arming takes, while every stream
- * waits for the slowest rank.
+ * If demand changes before any rank is armed, the switch is given up.
+ * Completing it would delay the next switch by the time that arming takes,
+ * while every stream waits for the slowest rank.
  */
 export async function switchGroup(
   parameters: GroupSwitchParameters,
@@ -103,7 +123,8 @@
   );
   outcome.prepareMilliseconds = common.now() - startedAt;
   if (outdated()) return { ...outcome, kind: GroupSwitchKind.Outdated };
-  if (!prepared) return { ...outcome, detail: "not loaded in time" };
+  if (!prepared)
+    return { ...outcome, detail: "a rank did not load the map in time" };
   const preparedAt = common.now();
   const step = await holdAhead(parameters);
   if (typeof step !== "number") return { ...outcome, ...outcomeOf(step) };
@@ -123,7 +144,8 @@
     pause,
   });
   outcome.armMilliseconds = common.now() - preparedAt;
-  // All were armed for one pass, which all ranks begin together.
+  // All ranks are armed for the same iteration and begin it together, so the
+  // state of the own rank shows that all have switched.
   await waitUntil(
     SWITCH_TIMEOUT_MILLISECONDS,
     parameters,
@@ -145,7 +167,8 @@
 }: GroupSwitchParameters): wire.RankOrder {
   const kind = wire.RankOrderKind.Prepare;
   const fullOrder = { kind, version, map, copyMilliseconds } as const;
-  // No rank was told the first map of a group.
+  // Version 0 is the map with which a group starts; no leader sent it to the
+  // ranks, so they cannot apply changes to it.
   if (!base || base.version <= 0) return fullOrder;
   const exchanges = mapDifference.differenceOf(base.map, map);
   const isShorter =
@@ -162,9 +185,11 @@
 }
 
 /**
- * The ranks in the order in which they are armed. The holder is the last but one: a
- * leader that freezes with its orders to the others on their way leaves it not
- * armed. What remains are the few milliseconds from its order to the release.
+ * The ranks, grouped in the order in which they are armed. The holder is armed
+ * last but one: if the leader freezes while its orders to the other ranks are
+ * in transit, the holder is not yet armed, and a successor can roll back. A
+ * freeze that cannot be rolled back must fall into the few milliseconds between
+ * the order to the holder and the release.
  */
 function armingStages({
   handles,
@@ -178,10 +203,11 @@
 }
 
 /**
- * Holds the first pass that surely has not begun; its number, or the refusal. The
- * order comes from the leader's host, not from the process beside the holder: a
- * host that freezes right after it gave an order is then not the one that all wait
- * for.
+ * Holds the first iteration that has certainly not begun. Returns its number,
+ * or the reply of the holder if it refused or did not answer. The leader orders
+ * the holder's engine directly, not through the process beside it: if that host
+ * freezes right after it passed an order on, it is not the host that the group
+ * waits for.
  */
 async function holdAhead(
   parameters: GroupSwitchParameters,
@@ -203,7 +229,9 @@
   return reply;
 }
 
-/** Gives all ranks an order once; the first reply that is not "done". */
+/**
+ * Sends an order to all ranks once. Returns the first reply other than "done".
+ */
 async function orderAll(
   handles: readonly rankHandle.RankHandle[],
   order: wire.RankOrder,
@@ -214,6 +242,10 @@
   return replies.find(({ end }) => end !== wire.RankOrderEnd.Done);
 }
 
+/**
+ * Waits for a condition. Returns false if the time limit is reached or this
+ * process no longer leads.
+ */
 async function waitUntil(
   milliseconds: number,
   { valid, pause }: Pick<GroupSwitchParameters, "valid" | "pause">,
