--- a/packages/daemon/src/rank_group/leader_follower.ts
+++ b/packages/daemon/src/rank_group/leader_follower.ts
@@ -5,7 +5,10 @@
 import type * as rankEngine from "./rank_engine.ts";
 import type * as rankMember from "./rank_member.ts";
 
-/** Announced holds that are remembered: those of several switches. */
+/**
+ * How many announcements of held iterations the process retains, which covers
+ * several switches.
+ */
 const MAX_HOLD_NOTICES = 16;
 
 /** What following a leader needs. */
@@ -13,43 +16,56 @@
   host: string;
   engine: rankEngine.RankEngine;
   member: rankMember.RankMember;
-  /** Token of the own leadership; -1 if this process does not lead. */
+  /** Fencing token of this process as leader; -1 if it does not lead. */
   ownToken: () => number;
-  /** Another process leads by a higher token than the own. */
+  /**
+   * Called when another process leads with a higher fencing token than this
+   * one.
+   */
   onNewerLeader: () => void;
 }
 
 /**
- * What the process beside a rank does for the leader of its group, and what it keeps
- * of it for the moment in which it has to take over.
+ * The follower's side of the process beside a rank: carries out the leader's
+ * commands, reports the state of the engine, and retains what this process
+ * needs if it has to take over the lead.
  */
 export class LeaderFollower {
-  /** When a leader was last heard. */
+  /**
+   * When the latest heartbeat of a leader arrived. `RankProcess` also sets it:
+   * to now while it does not wait for a leader, to `-Infinity` to lead at once.
+   */
   lastHeartbeatAt = common.now();
   /**
-   * What the last leader knew. A leader that dies may leave a pass held; were its
-   * successor to ask the store first, the group would stand still for as long as
-   * the store is away.
+   * What the last leader knew of the group. A leader that crashes may leave an
+   * iteration held. If its successor had to read the store first, the group
+   * would stand still for the time that the store is unavailable.
    */
   knowledge: wire.GroupKnowledge | undefined;
+  /**
+   * Link to the leader that this process follows; `undefined` if it follows
+   * none.
+   */
   #link: wire.Link | undefined;
   readonly #heartbeatRecord = new heartbeatRecord.HeartbeatRecord();
-  /** Holds that leaders announced in this forming of the group, newest last. */
+  /**
+   * Announcements of held iterations in the current group epoch, newest last.
+   */
   #holdNotices: wire.HoldNotice[] = [];
 
   constructor(readonly parameters: LeaderFollowerParameters) {}
 
-  /** Whether a leader has been followed since `forget`. */
+  /** Whether this process has followed a leader since `stopFollowing`. */
   get follows(): boolean {
     return this.#link !== undefined;
   }
 
-  /** Follows nobody, as this process leads. */
+  /** Forgets the leader, because this process leads. */
   stopFollowing(): void {
     this.#link = undefined;
   }
 
-  /** Holds of one forming of the group that were announced. */
+  /** The announcements of held iterations in a group epoch. */
   holdNoticesOf(epoch: number): wire.HoldNotice[] {
     return this.#holdNotices.filter((notice) => notice.epoch === epoch);
   }
@@ -61,7 +77,10 @@
     return { kind: wire.MessageKind.RankHello, host, identity, token };
   }
 
-  /** Serves the leader, or another process, at the far end of a link. */
+  /**
+   * Answers the process at the far end of a link, which may be the leader,
+   * until the link closes.
+   */
   async serve(link: wire.Link, signal: AbortSignal): Promise<void> {
     link.closeOn(signal);
     link.send(this.hello());
@@ -90,7 +109,10 @@
     }
   }
 
-  /** Tells the leader what the engine was read to say, if it is news. */
+  /**
+   * Sends the leader a heartbeat with the state of the engine and its new
+   * activations, if either is due.
+   */
   report(): void {
     const { member } = this.parameters;
     const { identity, status, token } = member;
@@ -103,7 +125,11 @@
     link.send({ kind, token, identity, status, chosen });
   }
 
-  /** Notes which pass is about to be held, and where. */
+  /**
+   * Records which iteration is about to be held, and by which rank. If it is
+   * this rank, the process reads its engine closely, so that the leader soon
+   * sees the hold.
+   */
   recordHoldNotice(notice: wire.HoldNotice): void {
     const { member } = this.parameters;
     const ofSameEpoch = this.holdNoticesOf(notice.epoch);
@@ -115,10 +141,11 @@
     const { member, ownToken, onNewerLeader } = this.parameters;
     if (heartbeat.group !== member.identity?.group) return;
     const own = ownToken();
-    // A leader is linked with itself too.
+    // A leader also has a link to itself.
     if (heartbeat.token === own) return;
     if (heartbeat.token < Math.max(own, member.token)) {
-      // Tells an old leader, by the token, that there is a newer one.
+      // The fencing token in this message shows an old leader that there is a
+      // newer one.
       link.send(this.hello());
       return;
     }
@@ -127,7 +154,8 @@
     this.lastHeartbeatAt = common.now();
     if (this.#link !== link) {
       this.#heartbeatRecord.reset();
-      // A new leader knows nothing of this rank, and a pass may be held.
+      // A new leader has no state of this rank yet, and an iteration may be
+      // held.
       member.readClosely();
     }
     this.#link = link;
@@ -159,13 +187,16 @@
     link.send({ kind, question, token: member.token, ...outcome });
   }
 
-  /** An order as the engine takes it; `undefined` if its map cannot be made. */
+  /**
+   * The order in the form that the engine accepts, with the full map.
+   * `undefined` if the map cannot be derived from the changes.
+   */
   #fullOrder(order: wire.SentOrder): wire.RankOrder | undefined {
     if (order.kind !== wire.RankOrderKind.PrepareChanges) return order;
     const { version, base, exchanges, copyMilliseconds } = order;
     const baseMap = this.parameters.member.mapOf(base);
     const unpacked = wire.unpackDocument<wire.RankMapExchange[]>(exchanges);
-    // Sent whole, the map reaches this rank all the same.
+    // The leader then sends the full map.
     if (!baseMap || unpacked.isErr()) return undefined;
     const map = mapDifference.withExchanges(baseMap, unpacked.value);
     return {
--- a/packages/daemon/src/rank_group/leader_follower_test.ts
+++ b/packages/daemon/src/rank_group/leader_follower_test.ts
@@ -27,7 +27,10 @@
   { kind: wire.RankOrderKind.Prepare }
 >;
 
-/** An engine on a map of some version; notes the maps that it is to prepare. */
+/**
+ * An engine with a map of the given version; records the maps that it is
+ * ordered to prepare.
+ */
 function createEngine(mapVersion: number): {
   engine: rankEngine.RankEngine;
   prepared: PrepareOrder[];
@@ -52,7 +55,9 @@
   return { engine, prepared };
 }
 
-/** A leader's port and the process beside its rank, with a link between them. */
+/**
+ * A leader's handle and the process beside its rank, with a link between them.
+ */
 function createPair(engine: rankEngine.RankEngine): {
   handle: linkedRank.LinkedRank;
   member: rankMember.RankMember;
@@ -95,7 +100,7 @@
   return { handle, member, sent, close: () => inbox.close() };
 }
 
-/** The order to prepare the next map, with the cells that differ from the base. */
+/** The order to prepare the next map, with the changes from the base map. */
 function prepareNext(): PrepareOrder {
   const version = BASE + 1;
   return {
@@ -120,7 +125,7 @@
   );
 }
 
-test("a rank that knows the base makes the whole map of its changes", async (t) => {
+test("a rank that has the base map cached derives the full map from the changes", async (t) => {
   const { engine, prepared } = createEngine(BASE);
   const { handle, member, sent, close } = createPair(engine);
   t.teardown(close);
@@ -134,10 +139,10 @@
   t.deepEqual(prepared.at(-1)?.map, NEXT);
 });
 
-// All streams of a group would meet two maps in one pass. The process beside a rank
-// started anew and remembers no map: changes alone would give its engine another map
-// than the others have, so it asks for the whole.
-test("a rank that does not know the base is sent the map whole", async (t) => {
+// The process beside a rank restarted and has no map cached. Changes alone
+// would give its engine another map than the other ranks have, and the group
+// would use two maps in one iteration. So it asks for the full map.
+test("a rank that does not have the base map cached is sent the full map", async (t) => {
   const { engine, prepared } = createEngine(BASE);
   const { handle, sent, close } = createPair(engine);
   t.teardown(close);
@@ -151,7 +156,7 @@
   );
 });
 
-test("a rank with another map in force is sent the map whole at once", async (t) => {
+test("a rank with another map in force is sent the full map at once", async (t) => {
   const { engine, prepared } = createEngine(BASE - 1);
   const { handle, sent, close } = createPair(engine);
   t.teardown(close);
--- a/packages/daemon/src/rank_group/linked_rank.ts
+++ b/packages/daemon/src/rank_group/linked_rank.ts
@@ -4,26 +4,32 @@
 import type * as rankEngine from "./rank_engine.ts";
 import type * as rankHandle from "./rank_handle.ts";
 
-/** Age of a beat up to which it tells a rank's state, in milliseconds. */
+/**
+ * Age up to which a rank's state counts as fresh. A leader reads an older one
+ * from the engine directly.
+ */
 const MAX_STATUS_AGE_MILLISECONDS = 900;
-/** Time for the process beside a rank to answer, in milliseconds. */
+/** How long the leader waits for an answer of the process beside a rank. */
 const ANSWER_TIMEOUT_MILLISECONDS = 400;
 
-/** Who gives orders, and in which forming of the group. */
+/** Fencing token of a leader, and the group epoch in which it leads. */
 export interface Leadership {
   token: number;
   epoch: number;
 }
 
 /**
- * One rank of the group, as its leader reaches it: through the process beside it,
- * whose orders cost nothing, or straight at its engine while that process is
- * away, so that a held group never waits for a process to come back.
+ * A leader's handle on one rank of its group. Orders go through the process
+ * beside the rank, which costs nothing. While that process is away they go
+ * directly to the engine, so that a group in which an iteration is held never
+ * waits for the process to return.
  */
 export class LinkedRank implements rankHandle.RankHandle {
   #status: wire.RankStatus | undefined;
   #statusAt = -Infinity;
-  /** The last switch that the rank is known to have made, and in which forming. */
+  /**
+   * The last switch that the rank is known to have made, with its group epoch.
+   */
   #lastSwitch = { version: 0, epoch: -1 };
   #link: wire.Link | undefined;
   #question = 0;
@@ -39,12 +45,12 @@
     readonly leadership: () => Leadership,
   ) {}
 
-  /** State as last heard. */
+  /** The latest state of the rank; `undefined` before the first. */
   get status(): wire.RankStatus | undefined {
     return this.#status;
   }
 
-  /** Whether the state was heard lately. */
+  /** Whether the state is recent enough to plan by. */
   get fresh(): boolean {
     return common.now() - this.#statusAt < MAX_STATUS_AGE_MILLISECONDS;
   }
@@ -54,20 +60,21 @@
     return this.#link !== undefined && this.#link.end === undefined;
   }
 
-  /** Takes the link to the process beside the rank. */
+  /** Uses a link to the process beside the rank from now on. */
   attach(link: wire.Link): void {
     this.#link = link;
   }
 
-  /** Notes the rank's state. */
+  /** Records the rank's state. */
   updateStatus(status: wire.RankStatus): void {
     this.#status = this.#withLastSwitch(status);
     this.#statusAt = common.now();
   }
 
   /**
-   * Notes that the rank uses a map, as another one does that was armed for the same
-   * pass. Its own process need not read that first, nor tell it.
+   * Records that the rank uses a map, because another rank that was armed for
+   * the same iteration does. The leader then need not wait until the rank's own
+   * process has read and reported that.
    */
   noteSwitched(version: number): void {
     const { epoch = -1 } = this.#status ?? {};
@@ -75,7 +82,7 @@
     if (this.#status) this.#status = this.#withLastSwitch(this.#status);
   }
 
-  /** A state that was read before the last switch is of the past. */
+  /** Corrects a state that was read before the last switch. */
   #withLastSwitch(status: wire.RankStatus): wire.RankStatus {
     const { version, epoch } = this.#lastSwitch;
     const isPast = status.epoch === epoch && status.mapVersion < version;
@@ -83,7 +90,7 @@
     return { ...status, mapVersion: version, armedVersion: 0, armedStep: 0 };
   }
 
-  /** Takes an answer, if it came on this rank's link. */
+  /** Accepts an answer if it came on this rank's link. */
   receive(
     message: wire.RankReply | wire.RankListsAnswer,
     link: wire.Link,
@@ -91,9 +98,10 @@
     if (link !== this.#link) return;
     switch (message.kind) {
       case wire.MessageKind.RankReply:
-        // Noted here, in the order of arrival, and not by who waits for the reply: that
-        // one goes on later, and would put an older state over that of a newer beat.
-        // The leader then waits for a state that it has had, until the next beat.
+        // The state is recorded here, in order of arrival. The caller that
+        // awaits the reply runs later and would overwrite the state of a newer
+        // heartbeat with this older one. The leader would then wait until the
+        // next heartbeat for a state that it already had.
         if (message.status) this.updateStatus(message.status);
         return this.#pendingReplies.get(message.question)?.(message);
       case wire.MessageKind.RankListsAnswer:
@@ -101,14 +109,17 @@
     }
   }
 
-  /** Reads the state from the engine itself; whether it answered. */
+  /** Reads the state from the engine directly. Returns whether it answered. */
   async refresh(): Promise<boolean> {
     const report = await this.engine.report();
     if (report.isOk()) this.updateStatus(report.value.status);
     return report.isOk();
   }
 
-  /** Experts that the rank holds. */
+  /**
+   * The experts that the rank holds; `undefined` if neither the process beside
+   * it nor its engine answers.
+   */
   async lists(): Promise<wire.RankLists | undefined> {
     const link = this.#link;
     if (link && this.linked) {
@@ -128,7 +139,7 @@
     return read.isOk() ? read.value : undefined;
   }
 
-  /** Gives an order and tells how it ended. */
+  /** Has the rank carry out an order, and returns the outcome. */
   async order(order: wire.RankOrder): Promise<wire.RankReply> {
     const link = this.#link;
     const reply =
@@ -138,7 +149,7 @@
     return reply ?? this.orderDirectly(order);
   }
 
-  /** Gives an order to the engine itself and tells how it ended. */
+  /** Sends an order to the engine directly, and returns the outcome. */
   async orderDirectly(order: wire.RankOrder): Promise<wire.RankReply> {
     const leadership = this.leadership();
     const outcome = await executeOrder.executeOrder({
@@ -152,8 +163,9 @@
   }
 
   /**
-   * Sends a map as changes if it can be. Sent whole to each rank of a large group it
-   * fills a slow host's link, and the leader's beats wait behind it.
+   * Sends a map as changes if the rank has the base map in force, else in full.
+   * The full map, sent to each rank of a large group, fills a slow host's link,
+   * and the leader's heartbeats wait behind it.
    */
   async #sendPreferringChanges(
     link: wire.Link,
@@ -170,6 +182,10 @@
     return isFinal ? reply : this.#send(link, fullOrder);
   }
 
+  /**
+   * Sends an order over a link. Returns `undefined` if no reply arrives in
+   * time.
+   */
   async #send(
     link: wire.Link,
     order: wire.SentOrder,
--- a/packages/daemon/src/rank_group/linked_rank_test.ts
+++ b/packages/daemon/src/rank_group/linked_rank_test.ts
@@ -8,7 +8,10 @@
 
 const VERSION = 5;
 
-/** A link that answers a command with a state of before it, and at once with a newer. */
+/**
+ * A link that answers a command with a state from before the command, and
+ * delivers a newer state right after the answer.
+ */
 function createLink(linkedHandle: linkedRank.LinkedRank): wire.Link {
   const link = {
     end: undefined,
@@ -29,10 +32,11 @@
   return link;
 }
 
-// Streams wait for the slowest rank a quarter of a second longer with most switches: a
-// rank tells that it has loaded the map right after it took the order. The leader has
-// both messages at once, and the state in the reply, which is older, stays.
-test("a state that came after a reply is not put back by it", async (t) => {
+// The rank reports that it has loaded the map right after it accepted the
+// order, so the leader receives both messages at once. If the older state in
+// the reply replaced the newer one, most switches would keep streams waiting
+// for the slowest rank for 0.25 s longer.
+test("the state in a reply does not replace a newer state", async (t) => {
   const linkedHandle = new linkedRank.LinkedRank(
     1,
     {} as rankEngine.RankEngine,
@@ -48,7 +52,7 @@
   t.is(linkedHandle.status?.preparedVersion, VERSION);
 });
 
-test("a reply tells the state where nothing newer came", async (t) => {
+test("the state in a reply is recorded if no newer one arrived", async (t) => {
   const linkedHandle = new linkedRank.LinkedRank(
     1,
     {} as rankEngine.RankEngine,
@@ -75,9 +79,9 @@
   t.true(linkedHandle.fresh);
 });
 
-// Its leader would take the group for one with two maps, and make no next one, until the
-// process beside the rank has read its engine again.
-test("a state that was read before a switch does not take it back", (t) => {
+// The leader would believe that the ranks use two maps, and would plan no
+// further map until the process beside the rank has read its engine again.
+test("a state that was read before a switch does not undo the recorded switch", (t) => {
   const linkedHandle = new linkedRank.LinkedRank(
     1,
     {} as rankEngine.RankEngine,
--- a/packages/daemon/src/rank_group/order_until_final.ts
+++ b/packages/daemon/src/rank_group/order_until_final.ts
@@ -2,15 +2,18 @@
 import * as wire from "@geraniumkeel/wire";
 import type * as rankHandle from "./rank_handle.ts";
 
-/** Pause before an order without a certain end is given again, in milliseconds. */
+/** Pause before an order whose outcome is unknown is repeated. */
 const REPEAT_PAUSE_MILLISECONDS = 10;
 
-/** Waits a moment on the clock. */
+/** Waits for the pause between two tries. */
 export function shortPause(): Promise<void> {
   return common.sleep(REPEAT_PAUSE_MILLISECONDS);
 }
 
-/** Repeats an order at a rank until its end is certain. */
+/**
+ * Repeats an idempotent order at one rank until its outcome is known, or
+ * `valid` turns false. Returns the last reply.
+ */
 export async function orderUntilFinal(parameters: {
   handle: rankHandle.RankHandle;
   order: wire.RankOrder;
@@ -26,7 +29,10 @@
   return reply;
 }
 
-/** Insists at each rank, all at once; the first reply that is not "done". */
+/**
+ * Does the same at several ranks at once. Returns the first reply other than
+ * "done", or `undefined` if all are done.
+ */
 export async function orderAllUntilFinal(parameters: {
   handles: readonly rankHandle.RankHandle[];
   order: wire.RankOrder;
--- a/packages/daemon/src/rank_group/own_rank.ts
+++ b/packages/daemon/src/rank_group/own_rank.ts
@@ -3,7 +3,10 @@
 import type * as rankMember from "./rank_member.ts";
 import * as linkedRank from "./linked_rank.ts";
 
-/** The rank beside the leader: its orders go through the process's own queue. */
+/**
+ * A leader's handle on the rank beside itself. Orders go through the process's
+ * own queue, so that they run one at a time with those of other leaders.
+ */
 export class OwnRank extends linkedRank.LinkedRank {
   constructor(
     rank: number,
@@ -14,7 +17,7 @@
     super(rank, engine, leadership);
   }
 
-  /** Gives an order and tells how it ended. */
+  /** Has the rank carry out an order, and returns the outcome. */
   override async order(order: wire.RankOrder): Promise<wire.RankReply> {
     const leadership = this.leadership();
     const outcome = await this.member.execute({ ...leadership, order });
@@ -23,7 +26,7 @@
     return { kind, question: 0, token: this.member.token, ...outcome };
   }
 
-  /** Gives an order; the process beside the rank is this one. */
+  /** The same as `order`, as this process is the one beside the rank. */
   override orderDirectly(order: wire.RankOrder): Promise<wire.RankReply> {
     return this.order(order);
   }
--- a/packages/daemon/src/rank_group/rank_engine.ts
+++ b/packages/daemon/src/rank_group/rank_engine.ts
@@ -1,36 +1,45 @@
 import type * as wire from "@geraniumkeel/wire";
 import type * as neverthrow from "neverthrow";
 
-/** What a rank's engine tells of itself. */
+/** What a rank's engine reports of itself. */
 export interface RankReport {
   identity: wire.RankIdentity;
-  /** Unix millisecond of the engine's start, 0 if it does not tell. */
+  /**
+   * Unix time of the engine's start in milliseconds; 0 if the engine does not
+   * report it.
+   */
   bornAt: number;
   status: wire.RankStatus;
-  /** Orders that the engine has begun since it started. */
+  /** Number of orders that the engine has begun since it started. */
   sequence: number;
-  /** Whether it loads what an order asked for. */
+  /** Whether the engine is loading what an order asked for. */
   loading: boolean;
 }
 
-/** How often each expert was chosen since the engine started. */
+/** How often each expert was activated since the engine started. */
 export interface ActivationCounts {
   epoch: number;
-  /** Unix millisecond of the engine's start, 0 if it does not tell. */
+  /**
+   * Unix time of the engine's start in milliseconds; 0 if the engine does not
+   * report it.
+   */
   bornAt: number;
-  /** Layer after layer, expert after expert. */
+  /** Counts, layer after layer and expert after expert. */
   chosen: number[];
 }
 
-/** What an engine said to an order. */
+/** How an engine answered an order. */
 export enum EngineAnswer {
-  /** Begun, or already so. */
+  /** The engine carries the order out, or had already done so. */
   Accepted = "accepted",
-  /** It does not fit the engine's state, or that state is another by now. */
+  /**
+   * The order does not fit the engine's state, or the state is no longer the
+   * one that the conditions name.
+   */
   Refused = "refused",
-  /** A higher token was seen there. */
+  /** The engine has seen a higher fencing token. */
   OldToken = "old-token",
-  /** No answer: it may be carried out, even seconds later. */
+  /** No answer. The engine may carry the order out, even seconds later. */
   Unknown = "unknown",
 }
 
@@ -38,15 +47,22 @@
 export interface OrderConditions {
   token: number;
   epoch: number;
-  /** Orders begun so far: an order that comes late meets another number. */
+  /**
+   * Number of orders begun so far. An order that arrives late finds a higher
+   * number, and the engine refuses it.
+   */
   sequence: number;
 }
 
-/** One rank's engine. */
+/** Client of one rank's engine. */
 export interface RankEngine {
+  /** Reads identity and state. */
   report(): Promise<neverthrow.Result<RankReport, string>>;
+  /** Reads the activations counted since the engine started. */
   chosen(): Promise<neverthrow.Result<ActivationCounts, string>>;
+  /** Reads which experts the rank holds under the map in force. */
   lists(): Promise<neverthrow.Result<wire.RankLists, string>>;
+  /** Has the engine carry out an order if the conditions still hold. */
   order(
     order: wire.RankOrder,
     conditions: OrderConditions,
--- a/packages/daemon/src/rank_group/rank_fixture.ts
+++ b/packages/daemon/src/rank_group/rank_fixture.ts
@@ -1,7 +1,10 @@
 import type * as traffic from "@geraniumkeel/traffic";
 import type * as wire from "@geraniumkeel/wire";
 
-/** For tests: engines like those of a group of twelve that carries a whole model. */
+/**
+ * For tests: engines like those of a group of twelve ranks that together hold a
+ * complete model.
+ */
 export function createShape(
   others: Partial<traffic.EngineShape> = {},
 ): traffic.EngineShape {
@@ -23,7 +26,10 @@
   };
 }
 
-/** For tests: a rank that runs some requests on a map and switches nothing. */
+/**
+ * For tests: the state of a rank that runs some requests on a map, while no
+ * switch is in progress.
+ */
 export function createStatus(
   others: Partial<wire.RankStatus> = {},
 ): wire.RankStatus {
--- a/packages/daemon/src/rank_group/rank_handle.ts
+++ b/packages/daemon/src/rank_group/rank_handle.ts
@@ -1,17 +1,26 @@
 import type * as wire from "@geraniumkeel/wire";
 
-/** One rank, as the leader of its group reaches it. */
+/**
+ * A leader's handle on one rank of its group: the state last received, and the
+ * way to give the rank orders.
+ */
 export interface RankHandle {
   readonly rank: number;
-  /** State as last heard. */
+  /** The latest state of the rank; `undefined` before the first. */
   readonly status: wire.RankStatus | undefined;
-  /** Gives an order by the process beside the rank and tells how it ended. */
+  /**
+   * Sends an order through the process beside the rank, and returns the
+   * outcome.
+   */
   order(order: wire.RankOrder): Promise<wire.RankReply>;
-  /** Gives an order from this host, without the process beside the rank. */
+  /**
+   * Sends an order from this host to the engine, without the process beside the
+   * rank, and returns the outcome.
+   */
   orderDirectly(order: wire.RankOrder): Promise<wire.RankReply>;
-  /** Reads the state from the engine itself; whether it answered. */
+  /** Reads the state from the engine directly. Returns whether it answered. */
   refresh(): Promise<boolean>;
 }
 
-/** Waits a moment before something is looked at or tried again. */
+/** Waits a moment before something is checked or tried again. */
 export type Pause = () => Promise<void>;
--- a/packages/daemon/src/rank_group/rank_links.ts
+++ b/packages/daemon/src/rank_group/rank_links.ts
@@ -7,60 +7,78 @@
 import type * as rankEngine from "./rank_engine.ts";
 import * as linkedRank from "./linked_rank.ts";
 
-/** Time between two beats of a leader, in milliseconds. */
+/** Time between two heartbeats of a leader. */
 const HEARTBEAT_MILLISECONDS = 200;
-/** Pause between attempts to link with the ranks that are missing. */
+/** Pause between attempts to link with the ranks that are not linked. */
 const RELINK_MILLISECONDS = 300;
-/** How long a process of another group is left alone before it is asked again. */
+/**
+ * How long the leader waits before it links again with a process of another
+ * group.
+ */
 const OTHER_GROUP_PAUSE_MILLISECONDS = 5_000;
-/** How long a new leader goes by what the last one knew. */
+/** How long a new leader uses the list of runners from the last leader. */
 const KNOWLEDGE_MAX_AGE_MILLISECONDS = 2_000;
 
 /**
- * Ranks of each kind that are told what a successor needs. Told to all ranks of a large
- * group it keeps a slow link busy for long: beats wait behind it, and ranks that hear
- * none take the lead from each other in turn.
+ * How many ranks count as likely successors, once by lowest number and once by
+ * position after the leader. Only they receive the group knowledge. Sent to all
+ * ranks of a large group, it would occupy a slow link for so long that
+ * heartbeats wait behind it, and ranks without heartbeats would take the lead
+ * from each other in turn.
  */
 const LIKELY_SUCCESSORS_OF_EACH_KIND = 6;
 
-/** What linking with the ranks of a group needs. */
+/** What the links to the ranks of a group need. */
 export interface RankLinksParameters {
   token: number;
-  /** The leader's own place in the group. */
+  /** The leader's own rank in the group. */
   identity: wire.RankIdentity;
   ownHandle: linkedRank.LinkedRank;
   service: string;
-  /** Engine of another runner, for while the process beside it is away. */
+  /**
+   * Connects to the engine of another runner directly, for the time in which
+   * the process beside that runner is away.
+   */
   engineAt: (runner: traffic.RunnerEntry) => rankEngine.RankEngine;
   /** Port on which all processes beside ranks accept links. */
   linkPort: number;
-  /** What the link of this host carries. */
+  /** Bytes per second that the network link of this host carries. */
   linkBytesPerSecond: number;
   runnerSource: traffic.DocumentSource<traffic.RunnerList>;
   /** What the last leader of the group knew. */
   knowledge: () => wire.GroupKnowledge | undefined;
-  /** First message on each link. */
+  /** The first message on each link. */
   hello: () => wire.RankHello;
-  /** Takes what a rank counted. */
+  /** Receives the activations that a rank counted. */
   onCounts: (rank: number, chosen: number[]) => void;
-  /** How often the own rank is to be counted; 0 for never. */
+  /**
+   * Receives the period at which the own rank must count its activations; 0 for
+   * never.
+   */
   onOwnCountPeriod: (milliseconds: number) => void;
-  /** There is a newer leader. */
+  /**
+   * Called when a rank knows a higher fencing token, so another process leads.
+   */
   onHigherToken: (token: number) => void;
   lifeCycle: common.LifeCycle;
 }
 
-/** A leader's links with all ranks of its group, for the time of one term. */
+/** A leader's links to all ranks of its group, for one term. */
 export class RankLinks {
-  /** All ranks that are known so far, the own one among them. */
+  /** All ranks known so far, including the leader's own. */
   readonly handles = new Map<number, linkedRank.LinkedRank>();
   /** Open links, each with the rank at its far end. */
   readonly #links = new Map<wire.Link, number>();
   readonly #runners = new Map<number, traffic.RunnerEntry>();
   readonly #startedAt = common.now();
-  /** Experts over all layers; 0 while the engines are not known. */
+  /**
+   * How many counts one reading of a rank holds: its experts over all layers. 0
+   * while the model is unknown.
+   */
   countsPerReading = 0;
-  /** What likely successors are told as soon as they are linked. */
+  /**
+   * Group knowledge that likely successors receive as soon as they are linked.
+   */
   #sharedKnowledge: wire.GroupKnowledge | undefined;
 
   constructor(readonly parameters: RankLinksParameters) {
@@ -69,8 +87,9 @@
   }
 
   /**
-   * Ranks as the last leader knew them. One whose host is frozen cannot be asked
-   * which rank it is, and the group may stand still until its leader is succeeded.
+   * Creates the handles of the ranks that the last leader knew. A rank whose
+   * host is frozen cannot say which rank it is, and the group may stand still
+   * until the leader on that host has a successor.
    */
   #adoptKnownRanks(): void {
     const { identity } = this.parameters;
@@ -83,13 +102,16 @@
     );
   }
 
-  /** Runners of the ranks that are known, in order of rank. */
+  /** Runners of the known ranks, in order of rank. */
   get runners(): traffic.RunnerEntry[] {
     const byRank = [...this.#runners].sort(([left], [right]) => left - right);
     return byRank.map(([, runner]) => runner);
   }
 
-  /** Tells likely successors, now and when they link, what they need. */
+  /**
+   * Sends the group knowledge to likely successors: now to those that are
+   * linked, later to each that links.
+   */
   shareKnowledge(knowledge: wire.GroupKnowledge): void {
     this.#sharedKnowledge = knowledge;
     for (const [link, rank] of this.#links) {
@@ -98,8 +120,9 @@
   }
 
   /**
-   * Whether a rank is a likely successor: the lower its number, the shorter its
-   * patience with a silent leader; and the ranks after the own one hold passes.
+   * Whether a rank is a likely successor. The lower the number of a rank, the
+   * shorter its leader timeout; and the ranks after the leader's own hold
+   * iterations, so they take over sooner during a switch.
    */
   #isLikelySuccessor(rank: number): boolean {
     const { rank: own, size } = this.parameters.identity;
@@ -112,7 +135,10 @@
     for (const link of this.#links.keys()) link.send(message);
   }
 
-  /** Links with all ranks of the group, and tells them who leads. */
+  /**
+   * Links with all ranks of the group and sends them heartbeats until the
+   * signal aborts.
+   */
   async maintain(signal: AbortSignal): Promise<void> {
     const { size } = this.parameters.identity;
     const linked = new Set<string>();
@@ -132,7 +158,10 @@
     }
   }
 
-  /** Tells all ranks who leads, and which of them are to tell what is chosen. */
+  /**
+   * Sends each rank a heartbeat, which also sets how often the rank reports its
+   * activations.
+   */
   #sendHeartbeats(): void {
     const { identity, onOwnCountPeriod: onOwnCounts } = this.parameters;
     const plan = this.#countPlan();
@@ -176,7 +205,10 @@
     }
   }
 
-  /** Runners that may be of the group: as the last leader knew, or all listed. */
+  /**
+   * Runners that may belong to the group: those that the last leader knew, or
+   * later all listed ones.
+   */
   async #possibleRunners(): Promise<traffic.RunnerEntry[]> {
     const { identity } = this.parameters;
     const lastKnowledge = this.parameters.knowledge();
@@ -188,7 +220,10 @@
     return read.isOk() ? (read.value.value?.runners ?? []) : [];
   }
 
-  /** Links with the process beside a runner for as long as it lasts. */
+  /**
+   * Links with the process beside a runner and receives its messages until the
+   * link closes.
+   */
   async #serveRank(
     runner: traffic.RunnerEntry,
     signal: AbortSignal,
@@ -217,7 +252,7 @@
           }
           const { identity } = message;
           if (identity?.group !== group) {
-            // Of another group: its own leader links with it.
+            // A rank of another group: its own leader links with it.
             if (identity)
               await common.sleep(OTHER_GROUP_PAUSE_MILLISECONDS, signal);
             return link.close();
@@ -248,7 +283,7 @@
     this.#links.delete(link);
   }
 
-  /** Learns from the engine itself which rank a runner is. */
+  /** Reads from the engine directly which rank a runner is. */
   async #identify(runner: traffic.RunnerEntry): Promise<void> {
     const report = await this.parameters.engineAt(runner).report();
     if (report.isErr()) return;
--- a/packages/daemon/src/rank_group/rank_member.ts
+++ b/packages/daemon/src/rank_group/rank_member.ts
@@ -5,51 +5,63 @@
 import type * as rankEngine from "./rank_engine.ts";
 import * as readingPlan from "./reading_plan.ts";
 
-/** How long the state is read closely once that is asked for. */
+/** How long the state is read closely after `readClosely`. */
 const CLOSE_READING_MILLISECONDS = 100;
-/** Longest time for which a map that is loaded is waited for. */
+/** Time limit for reading the state closely while the engine loads a map. */
 const LOADING_TIMEOUT_MILLISECONDS = 4_000;
-/** Longest time without a look at what there is to read. */
+/** Longest pause before the process checks again what it has to read. */
 const MAX_PAUSE_MILLISECONDS = 300;
-/** Maps of earlier orders that are kept: the one in force, and two after it. */
+/**
+ * How many maps of earlier orders are cached: the one in force, and two newer
+ * ones.
+ */
 const MAX_CACHED_MAPS = 3;
 
-/** An order with who gives it, and in which forming of the group. */
+/** An order of a leader, with its fencing token and group epoch. */
 export interface MemberCommand {
   token: number;
   epoch: number;
   order: wire.RankOrder;
 }
 
-/** What the process beside a rank knows of its own engine. */
+/**
+ * The engine of this process's own rank, as the process sees it: reads its
+ * state and its activations at the times that the reading plan gives, and
+ * carries out a leader's orders one at a time.
+ */
 export class RankMember {
   #report: rankEngine.RankReport | undefined;
   #counts: rankEngine.ActivationCounts | undefined;
   #reportedAt = -Infinity;
   #countedAt = -Infinity;
-  /** Choices that were not told to a leader yet. */
+  /** Activations that were not yet reported to a leader, layer after layer. */
   #unreportedCounts: number[] = [];
   #highestToken = 0;
   #closelyUntil = 0;
-  /** Version that the engine loads, when it should be there, and how long to wait. */
+  /**
+   * Version that the engine loads, when it should be loaded, and until when to
+   * read the state closely for it. Times of `common.now`.
+   */
   #loadingMap = { version: 0, loadedAt: 0, until: 0 };
-  /** How often the leader asks for choices; 0 for never. */
+  /** How often the leader wants activations counted; 0 for never. */
   #countMilliseconds = countPlan.COUNT_PERIOD_MILLISECONDS;
   readonly #readingDue = new common.ChangeNotice();
-  /** Maps that the engine was told to prepare, by version, oldest first. */
+  /** Maps that the engine was ordered to prepare, by version, oldest first. */
   readonly #maps = new Map<number, wire.RankMap>();
-  /** Orders run one at a time: each reads the engine's state before. */
+  /**
+   * Orders run one at a time, because each first reads the state of the engine.
+   */
   #previousOrder: Promise<unknown> = Promise.resolve();
   readonly changed = new common.ChangeNotice();
 
   constructor(
     readonly engine: rankEngine.RankEngine,
-    /** What this process is to its group. */
+    /** The role of this process in its group. */
     readonly role: () => readingPlan.GroupRole = () =>
       readingPlan.GroupRole.Leaderless,
   ) {}
 
-  /** Where the engine is in its group; `undefined` before it told. */
+  /** The engine's rank and group; `undefined` before the first reading. */
   get identity(): wire.RankIdentity | undefined {
     return this.#report?.identity;
   }
@@ -59,12 +71,12 @@
     return this.#report?.status;
   }
 
-  /** Highest token that was obeyed or heard. */
+  /** The highest fencing token that was accepted. */
   get token(): number {
     return this.#highestToken;
   }
 
-  /** The map of a version, for all ranks; `undefined` if it is not remembered. */
+  /** The map of a version, for all ranks; `undefined` if it is not cached. */
   mapOf(version: number): wire.RankMap | undefined {
     return this.#maps.get(version);
   }
@@ -75,14 +87,17 @@
     this.#readingDue.announce();
   }
 
-  /** Notes a token; whether none higher is known. */
+  /**
+   * Accepts a fencing token unless a higher one is known. Returns whether it
+   * was accepted.
+   */
   acceptToken(token: number): boolean {
     if (token < this.#highestToken) return false;
     this.#highestToken = token;
     return true;
   }
 
-  /** Reads the engine over and over until the signal aborts. */
+  /** Reads the engine repeatedly until the signal aborts. */
   async watch(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
       await this.#read();
@@ -94,19 +109,19 @@
     }
   }
 
-  /** Choices since the last call, layer after layer. */
+  /** Activations since the last call, layer after layer. */
   takeCounts(): number[] {
     const chosen = this.#unreportedCounts;
     this.#unreportedCounts = [];
     return chosen;
   }
 
-  /** Reads choices as often as the leader asks for them; 0 for never. */
+  /** Sets how often the activations are read; 0 for never. */
   setCountPeriod(milliseconds: number): void {
     const before = this.#countMilliseconds;
     this.#countMilliseconds = milliseconds;
     if (milliseconds === 0) this.#unreportedCounts = [];
-    // What was counted while nobody asked is of the past.
+    // Counts from the time in which no leader asked for them are out of date.
     if (before === 0 && milliseconds > 0) this.#counts = undefined;
   }
 
@@ -121,7 +136,7 @@
     const { token, epoch, order } = command;
     if (!this.acceptToken(token)) {
       const end = wire.RankOrderEnd.Superseded;
-      const detail = `token ${this.#highestToken} is known`;
+      const detail = `fencing token ${this.#highestToken} is known`;
       return { end, detail, status: this.status };
     }
     const { engine } = this;
@@ -134,7 +149,7 @@
     const isPrepare = order.kind === wire.RankOrderKind.Prepare;
     const isDone = outcome.end === wire.RankOrderEnd.Done;
     if (isPrepare && isDone) this.#noteLoading(order);
-    // It can be armed for a map that is loaded only.
+    // An engine can only be armed for a map that it has loaded.
     const isArm = order.kind === wire.RankOrderKind.Arm;
     if (isArm && isDone) this.#loadingMap.until = 0;
     return outcome;
@@ -152,14 +167,17 @@
     this.#readingDue.announce();
     this.#maps.set(version, map);
     if (this.#maps.size <= MAX_CACHED_MAPS) return;
-    // However many maps are loaded and left unused, the next one is told as changes to
-    // the one in force.
+    // The map in force stays cached however many others are loaded and not
+    // used, so that the next map can be sent as changes to it.
     const inForce = this.status?.mapVersion;
     const oldest = [...this.#maps.keys()].find((known) => known !== inForce);
     if (oldest !== undefined) this.#maps.delete(oldest);
   }
 
-  /** Experts of a map that the rank has to load for it, as far as is known here. */
+  /**
+   * Number of experts that the rank has to load for a map; 0 if the map in
+   * force is not cached.
+   */
   #expertsToLoad(map: wire.RankMap): number {
     const { rank = 0 } = this.identity ?? {};
     const base = this.mapOf(this.status?.mapVersion ?? 0);
@@ -221,11 +239,11 @@
   #addCounts(counts: rankEngine.ActivationCounts): void {
     const before = this.#counts;
     this.#counts = counts;
-    // Of an engine that ran before this process, it is not known how old its
-    // counts are; those of a young one are new.
+    // For an engine that ran before this process, the age of its counts is
+    // unknown. Those of a newly formed group are recent.
     if (!before && !this.#isNewlyFormed) return;
-    // An engine that started anew counts from 0, and may have come further since
-    // than it had before.
+    // A restarted engine counts from 0 again, and by now it may have counted
+    // more than before the restart.
     const restarted =
       counts.bornAt !== (before?.bornAt ?? counts.bornAt) ||
       counts.chosen.some(
@@ -238,15 +256,15 @@
     });
   }
 
-  /** Whether the group is being formed, or still has its first map. */
+  /** Whether the group is not yet open or still uses its first map. */
   get #isNewlyFormed(): boolean {
     return this.status !== undefined && readingPlan.isNewlyFormed(this.status);
   }
 
-  /** Whether the engine loads a map that it was told to prepare. */
+  /** Whether the engine still loads a map that it was ordered to prepare. */
   #isLoadingMap(now: number): boolean {
     const { version, until } = this.#loadingMap;
-    // An engine that uses a map tells it as prepared no more.
+    // An engine that uses a map no longer reports it as prepared.
     const { preparedVersion = 0, mapVersion = 0 } = this.status ?? {};
     return Math.max(preparedVersion, mapVersion) < version && now < until;
   }
--- a/packages/daemon/src/rank_group/rank_member_test.ts
+++ b/packages/daemon/src/rank_group/rank_member_test.ts
@@ -9,14 +9,14 @@
 
 const TIMEOUT_MILLISECONDS = 5_000;
 
-/** Counts of an engine, and when it started, at each reading. */
+/** What an engine returns at each reading: its counts, and when it started. */
 interface Readings {
   mapVersion: number;
   counts: number[][];
   startTimes?: number[];
 }
 
-/** An engine that tells the given counts, one list at each reading. */
+/** An engine that returns the given counts, one list at each reading. */
 function engineOf(parameters: Readings): {
   engine: rankEngine.RankEngine;
   allRead: () => boolean;
@@ -54,7 +54,10 @@
   return { engine, allRead: () => readings >= counts.length };
 }
 
-/** Sums of what is told to the leader until all counts were read. */
+/**
+ * Sums of the activations that are due to the leader, until all counts were
+ * read.
+ */
 async function reportedCounts(
   t: ava.ExecutionContext,
   parameters: Readings,
@@ -74,7 +77,7 @@
   return sums;
 }
 
-test("what was chosen since the last reading is told", async (t) => {
+test("activations since the last reading are reported", async (t) => {
   const counts = [
     [100, 100],
     [110, 100],
@@ -83,9 +86,10 @@
   t.deepEqual(await reportedCounts(t, { mapVersion: 4, counts }), [15, 30]);
 });
 
-// Callers' streams stall under the first map until demand is known. A group that
-// made its first passes has counted nothing old: its first counts are taken.
-test("the first counts of a young group are told", async (t) => {
+// Streams stall under a group's first map until its demand is known. A group
+// that has just begun to run has no old counts, so its first counts must be
+// used.
+test("the first counts of a newly formed group are reported", async (t) => {
   const counts = [
     [5, 9],
     [6, 9],
@@ -93,8 +97,9 @@
   t.deepEqual(await reportedCounts(t, { mapVersion: 0, counts }), [6, 9]);
 });
 
-// A rank that crashed counts from 0 when it is back; its new counts are no loss.
-test("counts of an engine that started anew are told whole", async (t) => {
+// A rank that crashed counts from 0 when it is back. The lower numbers must not
+// be taken for negative activations.
+test("counts of a restarted engine are reported in full", async (t) => {
   const counts = [
     [100, 100],
     [2, 7],
@@ -102,9 +107,10 @@
   t.deepEqual(await reportedCounts(t, { mapVersion: 4, counts }), [2, 7]);
 });
 
-// The map would be made for demand of long ago. An engine crashed and is back under
-// its old identifier; when it is read again it has counted more than before.
-test("counts of an engine with another start are told whole", async (t) => {
+// An engine crashed and came back under the same identity. When it is read
+// again it has counted more than before the crash. The map must not be planned
+// for demand of long ago.
+test("counts of an engine with another start time are reported in full", async (t) => {
   const counts = [
     [10, 10],
     [25, 70],
@@ -116,9 +122,10 @@
   );
 });
 
-// A new leader's link is full for as long as it needs to know its group: each rank of a
-// busy group tells it first all that it has counted while nobody led.
-test("what was counted before a leader asks for nothing is not told", async (t) => {
+// If each rank of a busy group reported everything that it counted while the
+// group had no leader, a new leader's link would be full while the leader has
+// to learn the state of its group.
+test("counts are not reported once a leader asks for none", async (t) => {
   const counts = [[1], [5], [9]];
   const { engine, allRead } = engineOf({ mapVersion: 4, counts });
   const member = new rankMember.RankMember(engine);
@@ -132,9 +139,9 @@
   t.deepEqual(member.takeCounts(), []);
 });
 
-// A shift of demand is answered later than it could be: maps that were loaded and left
-// unused push out the one in force, and the next one has to be sent whole.
-test("the map in force is remembered while others are loaded and left", async (t) => {
+// If maps that were loaded and not used evicted the map in force, the next map
+// would have to be sent in full, and a shift of demand would be answered later.
+test("the map in force stays cached while others are loaded and not used", async (t) => {
   const { engine } = engineOf({ mapVersion: 4, counts: [[1]] });
   const member = new rankMember.RankMember({
     ...engine,
@@ -155,13 +162,13 @@
 });
 
 const READINGS_WHILE_LOADING = 20;
-/** Calm readings would take 6 s, close ones 0.8 s. */
+/** Readings at the calm period would take 6 s, close ones take 0.8 s. */
 const MAX_LOADING_MILLISECONDS = 3_500;
 
-// Streams wait for a slow rank for longer than its copies take. The engine does not
-// count loading as being busy; read as seldom as in calm times, a map that is ready is
-// seen up to 0.3 s later, and the switch of the whole group waits for that.
-test("a map that is loaded is waited for closely", async (t) => {
+// An engine does not count loading as being busy. If its state were read at the
+// calm period, a loaded map would be seen up to 0.3 s late. The switch of the
+// group waits for that, and streams wait for a slow rank meanwhile.
+test("an engine that loads a map is read closely", async (t) => {
   let readings = 0;
   const { engine } = engineOf({ mapVersion: 4, counts: [[1]] });
   const read = async () => {
@@ -193,9 +200,10 @@
   t.true(took < MAX_LOADING_MILLISECONDS, `${took} ms`);
 });
 
-// The process beside each rank reads its engine 60 times a second for seconds after each
-// switch: an engine that has switched tells the map as prepared no more.
-test("a map that is in force is waited for no more", async (t) => {
+// An engine that has switched no longer reports the map as prepared. The
+// process beside each rank must not wait for that, or it would read its engine
+// 60 times a second for seconds after each switch.
+test("an engine is not read closely for a map that is in force", async (t) => {
   let readings = 0;
   const { engine } = engineOf({ mapVersion: 5, counts: [[1]] });
   const read = async () => {
