--- a/packages/daemon/src/iteration/iteration_time.ts
+++ b/packages/daemon/src/iteration/iteration_time.ts
@@ -1,19 +1,22 @@
 import type * as traffic from "@geraniumkeel/traffic";
 
-/** Work of one pass of a group whose ranks advance in lock-step. */
+/** Work of one iteration of a group whose ranks advance in lock-step. */
 export interface IterationWork {
-  /** Requests that are being written, over all ranks. */
+  /** Number of requests in the decoding phase, over all ranks. */
   decoding: number;
-  /** Prompt tokens read in the pass, over all ranks. */
+  /** Number of prompt tokens processed in the iteration, over all ranks. */
   promptTokens: number;
 }
 
-/** Length of one pass, in milliseconds, with no work in it. */
+/**
+ * Length of an iteration without work, in milliseconds. An iteration consists
+ * of `stepsPerPass` engine steps.
+ */
 export function emptyIterationMilliseconds(shape: traffic.EngineShape): number {
   return shape.stepsPerPass * shape.stepMilliseconds;
 }
 
-/** Work of a pass on the mean rank, in milliseconds. */
+/** Work of an iteration on the mean rank, in milliseconds. */
 export function meanWorkMilliseconds(
   shape: traffic.EngineShape,
   ranks: number,
@@ -26,8 +29,9 @@
 }
 
 /**
- * Prompt tokens that a group reads a pass while a number of requests is written, in
- * the long run: each request that ends is followed by one whose prompt is read.
+ * Number of prompt tokens that a group processes in an iteration while a number
+ * of requests is decoding, in the long run: each request that finishes is
+ * followed by one whose prompt has to be processed.
  */
 export function steadyPromptTokensPerIteration(
   shape: traffic.EngineShape,
@@ -39,9 +43,10 @@
 }
 
 /**
- * Length of a pass when the rank with the most chosen experts has `skew` times the
- * mean: the part of the work that follows the map waits for that rank. The rest is
- * taken as even, which it is within a few milliseconds.
+ * Length of an iteration when the rank with the most activated experts takes
+ * `skew` times the mean. The part of the work that depends on the map waits for
+ * that rank. The rest is assumed to be equal on all ranks, which is true within
+ * a few milliseconds.
  */
 export function iterationMilliseconds(
   shape: traffic.EngineShape,
--- a/packages/daemon/src/rank_group/activation_meter.ts
+++ b/packages/daemon/src/rank_group/activation_meter.ts
@@ -1,7 +1,7 @@
 /**
- * How often each expert of a group is chosen of late. Counts lose half their
- * weight in a fixed time, so that a change in demand outweighs the past soon and
- * single passes do not.
+ * How often each expert of a group was recently activated. Counts lose half
+ * their weight in each half-life. So a change in demand soon outweighs the
+ * past, while single iterations do not.
  */
 export class ActivationMeter {
   #decayedCounts: number[][] = [];
@@ -14,12 +14,12 @@
     },
   ) {}
 
-  /** Weighted counts by layer and expert. */
+  /** Counts by layer and expert, reduced by their age. */
   get decayedCounts(): number[][] {
     return this.#decayedCounts;
   }
 
-  /** Sum of all counts, by weight. */
+  /** Sum of all counts, reduced by their age. */
   get weight(): number {
     let sum = 0;
     for (const layer of this.#decayedCounts) {
@@ -28,7 +28,7 @@
     return sum;
   }
 
-  /** Adds what one rank counted, layer after layer. */
+  /** Adds the activations that one rank counted, layer after layer. */
   add(chosen: number[], now: number): void {
     const { expertsPerLayer } = this.parameters;
     this.#decay(now);
@@ -40,7 +40,7 @@
     });
   }
 
-  /** Takes over what another meter holds. */
+  /** Replaces the counts by those of another meter. */
   copyFrom(other: ActivationMeter): void {
     this.#decayedCounts = other.#decayedCounts.map((layer) => [...layer]);
     this.#decayedAt = other.#decayedAt;
@@ -63,7 +63,10 @@
   return new Array<number>(experts).fill(0);
 }
 
-/** Part of the choices, 0 to 1, in which two meters differ. */
+/**
+ * Share of the activations, from 0 to 1, in which the distributions of two
+ * meters differ; 0 if a meter has no counts.
+ */
 export function distanceOf(
   left: ActivationMeter,
   right: ActivationMeter,
--- a/packages/daemon/src/rank_group/copy_cost.ts
+++ b/packages/daemon/src/rank_group/copy_cost.ts
@@ -3,44 +3,56 @@
 import * as iterationTime from "../iteration/iteration_time.ts";
 
 /**
- * Strain up to which a more even map serves nobody sooner, and from which the next
- * shift of demand would make all streams of the group late.
+ * Strain up to which a more balanced map makes no answer faster, and strain
+ * from which the next shift of demand would make all streams of the group late.
  */
 const LOW_STRAIN = 0.6;
 const HIGH_STRAIN = 1;
 /**
- * Part of the slowest ranks' time that loading one expert must save. Every copy takes
- * the link of a rank for a while. With room, only the worst peaks are levelled, as no
- * answer is later for the others. Near the gap one percent pays: a stream that pauses
- * too long is late as a whole, and all streams of a group pause together.
+ * Share of the slowest ranks' time that loading one expert must save, at low
+ * and at high strain. Every copy occupies the link of a rank for a while. At
+ * low strain only the worst peaks are worth that, as no answer is later because
+ * of the others. Near the longest pause one percent is enough: a stream with
+ * one pause that is too long counts as late, and all streams of a group pause
+ * together.
  */
 const CALM_MIN_SAVING = 0.04;
 const STRAINED_MIN_SAVING = 0.01;
-/** Least cost of a copy, however fast it loads: it is moved between hosts. */
+/**
+ * Minimum cost of a copy, however fast it loads, because it is moved between
+ * hosts.
+ */
 const MIN_COPY_COST = 0.2;
-/** How much longer passes take while ranks load, as engines tell. */
+/**
+ * How much longer iterations take while ranks load experts, as engines report.
+ */
 const LOADING_SLOWDOWN = 1.15;
 /**
- * Time that the rest of a switch takes, in milliseconds. Loading as long as that is
- * cheap; longer, a first small change that comes sooner is worth more than a better
- * one later.
+ * Time that a switch takes besides loading. Loading for up to this time costs
+ * little. Beyond it, a small change that is in force sooner gains more than a
+ * better one later.
  */
 const SWITCH_OVERHEAD_MILLISECONDS = 150;
 
-/** How near to its limits a group is. */
+/** Load of a group, and what it must achieve. */
 export interface GroupLoad {
   shape: traffic.EngineShape;
   statuses: readonly wire.RankStatus[];
-  /** Slowest over mean rank right after demand has shifted. */
+  /** Time of the slowest rank over the mean, right after demand has shifted. */
   skewAfterShift: number;
-  /** Longest pause between two events that is in time; 0 if none is told. */
+  /**
+   * Longest pause between two events of a stream that still counts as on time,
+   * in milliseconds; 0 if no route sets one.
+   */
   gapMilliseconds: number;
 }
 
 /**
- * The pass that would follow a shift of demand, over the longest pause that is in
- * time. A group with its first map counts as strained: it was formed a moment ago,
- * mostly after an outage, and the backlog is on its way.
+ * Strain of a group: the length of an iteration after a shift of demand, over
+ * the longest pause that still counts as on time. Without such a pause, the
+ * share of slots in use. A group with its first map counts as highly strained:
+ * it was formed a moment ago, mostly after an outage, and a backlog of requests
+ * is about to arrive.
  */
 export function strainOf(load: GroupLoad): number {
   const { shape, statuses, skewAfterShift, gapMilliseconds } = load;
@@ -71,22 +83,24 @@
 }
 
 /**
- * Part of the slowest ranks' time that a copy has to save under a strain. For days
- * on which demand shifts every few seconds while load swings between a quarter of
- * the slots and all of them.
+ * Share of the slowest ranks' time that a copy has to save under a strain.
+ * Designed for demand that shifts every few seconds while the load varies
+ * between a quarter of the slots and all of them.
  */
 export function minSavingOfCopy(strain: number): number {
   const span = HIGH_STRAIN - LOW_STRAIN;
   const position = Math.min(1, Math.max(0, (strain - LOW_STRAIN) / span));
-  // Even steps in the logarithm: the gain of further copies falls like that.
+  // Interpolates on a logarithmic scale, because the saving of each further
+  // copy falls in that way.
   return CALM_MIN_SAVING * (STRAINED_MIN_SAVING / CALM_MIN_SAVING) ** position;
 }
 
 /**
- * What loading one expert costs, over what it costs where one millisecond of a rank's
- * link is spent for each request that gains by the faster pass. In a large group many
- * gain by a short copy: weighed as in a small one, copies that are nearly free would be
- * left out and the slowest rank would stay slow.
+ * Cost of loading one expert: milliseconds of a rank's link for each request
+ * that gains from shorter iterations. At one millisecond the cost is 1. In a
+ * large group many requests gain from a short copy. If copies cost the same
+ * there as in a small group, some that are almost free would be left out, and
+ * the slowest rank would stay slow.
  */
 export function costOfCopy(shape: traffic.EngineShape, ranks: number): number {
   const { copyMilliseconds, slots } = shape;
@@ -95,7 +109,7 @@
   return Math.max(MIN_COPY_COST, cost);
 }
 
-/** Experts that a rank loads at most for one map. */
+/** Maximum number of experts that a rank loads for one map. */
 export function maxCopiesPerRank(shape: traffic.EngineShape): number {
   const { copyMilliseconds } = shape;
   if (copyMilliseconds <= 0) return 1;
--- a/packages/daemon/src/rank_group/count_plan.ts
+++ b/packages/daemon/src/rank_group/count_plan.ts
@@ -1,37 +1,49 @@
 /**
- * Part of the leader's link that counts may fill. With more, states and answers to
- * orders wait behind them, and the group keeps a map that no longer fits.
+ * Share of the leader's network link that counts may use. With a larger share,
+ * states and answers to orders wait behind them, and the group keeps a map that
+ * no longer fits demand.
  */
 const MAX_LINK_SHARE = 0.35;
-/** Mean bytes of a count on the wire: small numbers take one, others two and more. */
+/**
+ * Mean size of a count on the wire: small numbers take one byte, larger ones
+ * two or more.
+ */
 const BYTES_PER_COUNT = 1.7;
-/** How often a rank tells what its requests choose, where all may, in milliseconds. */
+/** How often a rank reports its activations where all ranks may report. */
 export const COUNT_PERIOD_MILLISECONDS = 100;
 /**
- * Ranks that tell where not all may: together they run requests enough for a shift to
- * show above chance, and any rank runs any kind of request.
+ * How many ranks report where not all may. Together they run enough requests to
+ * tell a shift of demand from chance, and any rank runs any kind of request.
  */
 const MAX_REPORTERS_IN_LARGE_GROUP = 8;
 
-/** Which ranks tell what their requests choose, and how often. */
+/** Which ranks report their activations to the leader, and how often. */
 export interface CountPlan {
   reporters: ReadonlySet<number>;
   periodMilliseconds: number;
 }
 
-/** For groups of any size: as many tellers as the leader's link and processor carry. */
+/**
+ * Plans the reports for groups of any size: as many reporting ranks as the
+ * leader's link and processor can handle.
+ */
 export function planCounts(parameters: {
-  /** Ranks that can be asked, in order. */
+  /** Ranks that can report, in rising order. */
   linkedRanks: readonly number[];
-  /** Experts over all layers; 0 while the engines are not known. */
+  /**
+   * How many counts one reading holds: the experts over all layers. 0 while the
+   * model is unknown.
+   */
   countsPerReading: number;
-  /** What the link of the leader's host carries. */
+  /** Bytes per second that the network link of the leader's host carries. */
   linkBytesPerSecond: number;
 }): CountPlan {
   const { linkedRanks, countsPerReading, linkBytesPerSecond } = parameters;
-  // A leader that does not know the engines can plan nothing by counts. Told by all
-  // ranks of a busy group they fill its link, and what it reads to know the engines
-  // never arrives: the group keeps its first map, and all streams are late.
+  // A leader that does not know the model of its group cannot plan by counts.
+  // If all ranks of a busy group sent them nevertheless, they would fill the
+  // leader's link, and the model, which the leader reads over the same link,
+  // would never arrive. The group would keep its first map, and all streams
+  // would be late.
   if (countsPerReading <= 0) {
     return {
       reporters: new Set(),
--- a/packages/daemon/src/rank_group/count_plan_test.ts
+++ b/packages/daemon/src/rank_group/count_plan_test.ts
@@ -3,7 +3,7 @@
 
 const test = ava.default;
 
-/** Links of 5.6 and of 4.2 million bits a second. */
+/** Links of 5.6 and of 4.2 million bits per second. */
 const LINK_BYTES_PER_SECOND = 700_000;
 const SLOW_LINK_BYTES_PER_SECOND = 525_000;
 
@@ -11,7 +11,7 @@
   return Array.from({ length: count }, (_, rank) => rank);
 }
 
-test("all ranks of a small group tell ten times a second", (t) => {
+test("all ranks of a small group report ten times a second", (t) => {
   for (const [size, countsPerReading] of [
     [8, 384],
     [12, 288],
@@ -27,9 +27,10 @@
   }
 });
 
-// Told by all, the counts of a group of 63 fill the leader's link: it hears no state
-// in time, orders arrive late, and the map is never changed.
-test("of a large group a few ranks tell, as often as the link carries", (t) => {
+// If all 63 ranks of a group reported, the counts would fill the leader's link.
+// The leader would receive states too late, orders would arrive late, and the
+// map would never change.
+test("a few ranks of a large group report, as often as the link allows", (t) => {
   for (const [size, countsPerReading, linkBytesPerSecond] of [
     [63, 2_016, LINK_BYTES_PER_SECOND],
     [96, 3_072, SLOW_LINK_BYTES_PER_SECOND],
@@ -42,14 +43,16 @@
     });
     t.is(plan.reporters.size, 8);
     const readings = (plan.reporters.size * 1_000) / plan.periodMilliseconds;
-    // A byte a number at least; three quarters of the link stay for the rest.
+    // At one byte or more for each count, three quarters of the link remain for
+    // other messages.
     t.true(readings * countsPerReading <= linkBytesPerSecond * 0.25);
     t.true(plan.periodMilliseconds <= 250);
   }
 });
 
-// Seen late, a shift leaves all streams paused for the slowest rank for as long. A
-// faster link carries counts more often, up to those that show anything new.
+// Until a shift is detected, all streams wait for the slowest rank. A faster
+// link carries counts more often, up to the period below which they show
+// nothing new.
 test("a faster link carries counts more often", (t) => {
   const periods = [
     SLOW_LINK_BYTES_PER_SECOND,
@@ -67,7 +70,7 @@
   t.is(periods[2], countPlan.COUNT_PERIOD_MILLISECONDS);
 });
 
-test("a rank that is not linked is not waited for", (t) => {
+test("linked ranks report in place of those that are not linked", (t) => {
   const linkedRanks = ranks(63).filter((rank) => rank > 4);
   const plan = countPlan.planCounts({
     linkedRanks,
@@ -78,10 +81,11 @@
   t.is(plan.reporters.size, 8);
 });
 
-// All streams stay late after all hosts lost power: the group is busy before anybody
-// leads it, and sixty ranks that tell at once fill the new leader's link. It reads the
-// engines' shape from the store over the same link, and never has it.
-test("before the engines are known no rank tells what is chosen", (t) => {
+// After all hosts lost power, the group is busy before it has a leader. If
+// sixty ranks reported at once, they would fill the new leader's link. The
+// leader reads the model from the store over the same link and would never
+// receive it, so all streams would stay late.
+test("no rank reports activations while the model is unknown", (t) => {
   const plan = countPlan.planCounts({
     linkedRanks: ranks(63),
     countsPerReading: 0,
--- a/packages/daemon/src/rank_group/demand.ts
+++ b/packages/daemon/src/rank_group/demand.ts
@@ -1,44 +1,54 @@
 import * as activationMeter from "./activation_meter.ts";
 
 /**
- * Half-life of demand as it is planned by, in milliseconds. A group runs some fifty
- * streams at once, each of one topic for about a second: a shorter view shows which
- * streams happen to run, and maps made for them are changed again and again.
+ * Half-life of the long view. A group runs some fifty streams at once, each on
+ * one topic for about a second. A shorter half-life shows which streams happen
+ * to run, and maps planned for those are changed again and again.
  */
 const HALF_LIFE_MILLISECONDS = 2_000;
-/** Age up to which the latest reading of a rank tells of now. */
+/** Age up to which the latest reading of a rank describes current demand. */
 const MAX_READING_AGE_MILLISECONDS = 250;
 /**
- * Distance between the latest readings and the long view that means a shift of
- * demand, 0 to 1, and the same in times the usual distance. A shift of half of what is
- * liked shows whole in every reading that begins after it. Chance gives less, but more
- * the fewer streams there are: taken for a shift, it has a small group plan by a
- * quarter of a second's streams.
+ * Distances between the latest readings and the long view from which demand
+ * counts as shifted: from 0 to 1, and as a multiple of the usual distance. Both
+ * must be reached. A shift of half of the demand shows in full in every reading
+ * that begins after it. Chance causes smaller distances, but larger ones the
+ * fewer streams run. If such a distance counted as a shift, a small group would
+ * plan by the streams of a quarter of a second.
  */
 const MIN_SHIFT_DISTANCE = 0.12;
 const MIN_SHIFT_IN_USUAL_DISTANCES = 2;
-/** What chance gives before any distance was seen, and the weight of a new one. */
+/**
+ * Usual distance before any was computed, and the weight of the newest distance
+ * in it.
+ */
 const INITIAL_USUAL_DISTANCE = 0.06;
 const NEWEST_DISTANCE_WEIGHT = 0.08;
 /**
- * Time after a shift was seen in which the latest readings alone are gone by. The
- * first of them began before the shift and are half of the past: kept, they would have
- * the map made twice.
+ * Time after a detected shift in which only the latest readings are used. The
+ * first readings after a shift began before it and half describe the earlier
+ * demand. If they stayed in the long view, the map would have to be changed
+ * twice.
  */
 const LATEST_ONLY_MILLISECONDS = 150;
-/** Choices, by weight, below which a view says nothing. */
+/**
+ * Minimum number of activations, reduced by age, in a view that is planned by.
+ */
 const MIN_ACTIVATIONS = 2_000;
 
-/** What one rank counted since it was read before. */
+/**
+ * What one rank counted between its last two readings, and when it was added.
+ */
 interface RankReading {
   chosen: number[];
   at: number;
 }
 
 /**
- * What a group's requests choose: a long view, that is given up for the latest
- * readings when demand has shifted. For days on which what is liked changes every few
- * seconds, for all requests at once, and stays in between.
+ * The demand of a group's requests for experts. Normally this is a long view
+ * over some seconds; when demand has shifted, the latest readings replace it.
+ * Designed for demand that changes every few seconds, for all requests at once,
+ * and is stable in between.
  */
 export class Demand {
   readonly #longView: activationMeter.ActivationMeter;
@@ -56,7 +66,7 @@
     });
   }
 
-  /** Load by layer and expert, in any unit. */
+  /** Demand by layer and expert, in any unit. */
   get load(): readonly number[][] {
     return this.#longView.decayedCounts;
   }
@@ -66,27 +76,27 @@
     return this.#longView.weight >= MIN_ACTIVATIONS;
   }
 
-  /** When anything was last added, by the clock of `add`. */
+  /** When counts were last added, by the clock of `add`. */
   get addedAt(): number {
     return this.#addedAt;
   }
 
-  /** Distance between the two views when it was last looked at. */
+  /** Distance between the two views when last computed, from 0 to 1. */
   get distance(): number {
     return this.#distance;
   }
 
-  /** When a shift was last seen, by the clock of `add`. */
+  /** When a shift was last detected, by the clock of `add`. */
   get shiftDetectedAt(): number {
     return this.#shiftDetectedAt;
   }
 
-  /** Shifts seen so far. */
+  /** Number of shifts detected so far. */
   get shifts(): number {
     return this.#shifts;
   }
 
-  /** Adds what one rank counted, layer after layer. */
+  /** Adds the activations that one rank counted, layer after layer. */
   add(rank: number, chosen: number[], now: number): void {
     if (chosen.length === 0) return;
     this.#addedAt = now;
@@ -94,7 +104,7 @@
     this.#latestReadings.set(rank, { chosen, at: now });
   }
 
-  /** Goes by the latest readings if demand has shifted. */
+  /** Replaces the long view by the latest readings if demand has shifted. */
   detectShift(now: number): void {
     const latest = this.#latestMeter(now);
     if (latest.weight < MIN_ACTIVATIONS) return;
@@ -109,7 +119,10 @@
     this.#longView.copyFrom(latest);
   }
 
-  /** Whether a distance is more than chance; what chance gives is learned. */
+  /**
+   * Whether a distance is larger than chance explains. Learns the usual
+   * distance on the way.
+   */
   #isShift(distance: number): boolean {
     const minDistance = Math.max(
       MIN_SHIFT_DISTANCE,
@@ -121,7 +134,7 @@
     return distance >= minDistance;
   }
 
-  /** The latest reading of each rank, all as of now. */
+  /** The latest reading of each rank, without those that are too old. */
   #latestMeter(now: number): activationMeter.ActivationMeter {
     const meter = new activationMeter.ActivationMeter(
       this.#longView.parameters,
--- a/packages/daemon/src/rank_group/demand_test.ts
+++ b/packages/daemon/src/rank_group/demand_test.ts
@@ -7,7 +7,10 @@
 const EXPERTS = 16;
 const PERIOD_MILLISECONDS = 150;
 
-/** What one rank counts in a period, with chance, when some experts are liked. */
+/**
+ * What one rank counts in a period, with random variation, when one group of
+ * four experts is popular.
+ */
 function counted(random: common.Random, popular: number): number[] {
   return Array.from({ length: EXPERTS }, (_, expert) => {
     const mean = Math.floor(expert / 4) === popular ? 300 : 40;
@@ -31,15 +34,16 @@
   return now;
 }
 
-test("chance between two readings is no shift", (t) => {
+test("random differences between readings are no shift", (t) => {
   const demand = new demandModule.Demand(EXPERTS);
   feed(demand, new common.Random(1), { from: 0, periods: 40, popular: 1 });
   t.is(demand.shifts, 0);
 });
 
-// Maps made for what is past are late. Demand that changes every few seconds must
-// be seen within half a second, and what it was before must not weigh on.
-test("a shift is seen within three readings and the past is dropped", (t) => {
+// Maps planned for earlier demand are of no use. Demand that changes every few
+// seconds must be detected within half a second, and the demand before must no
+// longer have an effect.
+test("a shift is detected within three readings and earlier demand is dropped", (t) => {
   const demand = new demandModule.Demand(EXPERTS);
   const random = new common.Random(2);
   const now = feed(demand, random, { from: 0, periods: 30, popular: 1 });
@@ -49,10 +53,11 @@
   t.true(layer[12] > layer[4] * 1.5);
 });
 
-// The next map would be made for half of the past, and made again when it is in
-// force. Each rank is read at its own time: the reading under way when demand shifts
-// tells of both, the one after it of the new alone.
-test("readings that straddle a shift do not stay in the view", (t) => {
+// Each rank is read at its own time. The reading in progress when demand shifts
+// covers both the old and the new demand; the next one covers the new demand
+// alone. If the first one stayed in the view, the next map would half follow
+// the old demand and have to be changed again once it is in force.
+test("readings that began before a shift do not stay in the long view", (t) => {
   const demand = new demandModule.Demand(EXPERTS);
   const random = new common.Random(3);
   const now = feed(demand, random, { from: 0, periods: 30, popular: 1 });
--- a/packages/daemon/src/rank_group/execute_order.ts
+++ b/packages/daemon/src/rank_group/execute_order.ts
@@ -2,12 +2,14 @@
 import * as wire from "@geraniumkeel/wire";
 import * as rankEngine from "./rank_engine.ts";
 
-/** Time for which an order is repeated until its outcome is certain. */
+/** How long an order is repeated while its outcome is unknown. */
 const ORDER_TIMEOUT_MILLISECONDS = 1_000;
 /** Pause before an engine that does not answer is asked again. */
 const RETRY_PAUSE_MILLISECONDS = 15;
 
-/** How an order ended at an engine. */
+/**
+ * Outcome of an order at an engine, with the engine's state before the order.
+ */
 export interface OrderOutcome {
   end: wire.RankOrderEnd;
   detail: string;
@@ -15,12 +17,16 @@
 }
 
 /**
- * Has an engine carry out an order, and makes sure of it. An order without an answer
- * may be carried out seconds later, after newer ones. Two things keep a late copy
- * from splitting the group's maps. What it asks for is of one switch alone: a version
- * that is never used again, and a pass that is over by then. And it carries the
- * number of orders begun so far as its condition, which one that was begun since
- * has changed; not all engines count all orders, so nothing rests on that alone.
+ * Has an engine carry out an order, and repeats the order until its outcome is
+ * known. An order without an answer may still be carried out seconds later,
+ * after newer ones. Two things prevent that such a late copy gives the ranks of
+ * a group different maps:
+ *
+ * - The order applies to one switch only: it names a version that is never used
+ *   again, and an iteration that is over by then.
+ * - The order carries the number of orders that the engine has begun so far, as
+ *   a condition. Any order begun since has raised that number. Not all engines
+ *   count all orders, so safety does not depend on this alone.
  */
 export async function executeOrder(parameters: {
   engine: rankEngine.RankEngine;
@@ -42,20 +48,24 @@
     }
     const { sequence } = report.value;
     status = report.value.status;
-    // An engine that started anew counts its orders from 0: the number of before
-    // could come again, and the order would be carried out under it.
+    // A restarted engine counts its orders from 0. The earlier number could
+    // come up again, and the engine would then carry out an order that was
+    // meant for it before the restart.
     bornAt ??= report.value.bornAt;
     if (report.value.bornAt !== bornAt) {
-      return refused("engine started anew", status);
+      return refused("engine restarted", status);
     }
-    if (status.epoch !== epoch) return refused(`epoch ${status.epoch}`, status);
+    if (status.epoch !== epoch)
+      return refused(`engine is in group epoch ${status.epoch}`, status);
     if (isAchieved(order, status)) return done(status);
     const obstacle = obstacleTo(order, status);
     if (obstacle) return refused(obstacle, status);
-    // Refused although nothing was begun since: not for the number's sake.
+    // The engine refused the order although it began no other in the meantime,
+    // so the number of orders is not the reason.
     if (refusedAtSequence === sequence) {
-      // Loading goes on for a while before the state shows it: a copy without an
-      // answer may have begun it, and then this one is refused as known.
+      // Loading takes a while before the state shows it. A copy of the order
+      // that got no answer may have begun it; the engine then refuses this copy
+      // as a repetition.
       const isPrepare = order.kind === wire.RankOrderKind.Prepare;
       if (isPrepare && unanswered) return done(status);
       return refused("refused by engine", status);
@@ -66,7 +76,11 @@
         return done(status);
       case rankEngine.EngineAnswer.OldToken: {
         const end = wire.RankOrderEnd.Superseded;
-        return { end, detail: "old token at engine", status };
+        return {
+          end,
+          detail: "engine has seen a higher fencing token",
+          status,
+        };
       }
       case rankEngine.EngineAnswer.Refused:
         refusedAtSequence = sequence;
@@ -76,7 +90,11 @@
         break;
     }
   }
-  return { end: wire.RankOrderEnd.Unknown, detail: "no answer", status };
+  return {
+    end: wire.RankOrderEnd.Unknown,
+    detail: "engine did not answer in time",
+    status,
+  };
 }
 
 /** Whether an engine is in the state that an order asks for. */
@@ -99,22 +117,26 @@
   }
 }
 
-/** Why an engine in this state would never carry out an order. */
+/**
+ * Why an engine in this state can never carry out an order; `undefined` if it
+ * can.
+ */
 function obstacleTo(
   order: wire.RankOrder,
   status: wire.RankStatus,
 ): string | undefined {
   switch (order.kind) {
     case wire.RankOrderKind.Prepare:
-      return status.armedVersion > 0 ? "armed" : undefined;
+      return status.armedVersion > 0 ? "engine is armed" : undefined;
     case wire.RankOrderKind.Arm:
       return status.step >= order.step
-        ? `pass ${order.step} has begun`
+        ? `iteration ${order.step} has begun`
         : undefined;
     case wire.RankOrderKind.Hold:
-      if (status.heldStep >= 0) return `holds pass ${status.heldStep}`;
+      if (status.heldStep >= 0)
+        return `engine holds iteration ${status.heldStep}`;
       return status.step >= order.step
-        ? `pass ${order.step} has begun`
+        ? `iteration ${order.step} has begun`
         : undefined;
     case wire.RankOrderKind.Release:
     case wire.RankOrderKind.Disarm:
--- a/packages/daemon/src/rank_group/execute_order_test.ts
+++ b/packages/daemon/src/rank_group/execute_order_test.ts
@@ -27,10 +27,10 @@
   };
 }
 
-// A pass would be held that nobody releases. The engine does not answer an order and
-// crashes; started anew it has begun as many orders as before. The order was meant
-// for the engine of before.
-test("an order is not given again to an engine that started anew", async (t) => {
+// An engine does not answer an order to hold an iteration, and crashes. After
+// the restart it has begun as many orders as before. If it got the order again,
+// it would hold an iteration that no leader releases.
+test("an order is not repeated at an engine that restarted", async (t) => {
   const reports = [reportOf(1_000, 3), reportOf(2_000, 3)];
   let givenOrders = 0;
   const engine: rankEngine.RankEngine = {
@@ -52,10 +52,10 @@
   t.is(givenOrders, 1);
 });
 
-// A whole switch is given up though all ranks load. The answer to an order is lost
-// while the engine carries it out; the order is given again, and the engine, which
-// counts no orders, refuses it as one that it knows.
-test("a map whose order got no answer is loaded all the same", async (t) => {
+// The answer to an order is lost while the engine carries the order out. The
+// repeated order is refused as a repetition by an engine that counts no orders.
+// The switch must not be given up, since all ranks load the map.
+test("an order to load a map counts as done although its answer was lost", async (t) => {
   const answers = [
     rankEngine.EngineAnswer.Unknown,
     rankEngine.EngineAnswer.Refused,
--- a/packages/daemon/src/rank_group/heartbeat_record.ts
+++ b/packages/daemon/src/rank_group/heartbeat_record.ts
@@ -1,21 +1,25 @@
 import type * as wire from "@geraniumkeel/wire";
 
 /**
- * Longest time between two beats of a rank, in milliseconds. A leader takes a state
- * for fresh for 900.
+ * Longest time between two heartbeats of a rank. Its leader considers a state
+ * older than 900 ms out of date.
  */
 const MAX_PAUSE_MILLISECONDS = 250;
 
 /**
- * What a rank told its leader last. While a map is loaded each rank reads its engine
- * 25 times a second; told each time, a leader of 63 would take in 1,500 states a
- * second, of which almost none differ.
+ * The state that a rank sent its leader last; decides whether a new one is
+ * worth a heartbeat. While an engine loads a map, the process beside it reads
+ * its state 25 times a second. If each were sent, the leader of a group of 63
+ * would receive 1,500 states a second, almost all of them the same.
  */
 export class HeartbeatRecord {
   #sent: wire.RankStatus | undefined;
   #sentAt = -Infinity;
 
-  /** Whether a state is news; notes it as told then. */
+  /**
+   * Whether to send a state now: if it differs in more than the load, or if the
+   * last heartbeat is too long ago. Records the state as sent in that case.
+   */
   recordIfDue(status: wire.RankStatus, now: number): boolean {
     const sent = this.#sent;
     const late = now - this.#sentAt >= MAX_PAUSE_MILLISECONDS;
@@ -25,13 +29,16 @@
     return true;
   }
 
-  /** Another leader knows nothing of what was told. */
+  /** Forgets what was sent, because another leader has not received it. */
   reset(): void {
     this.#sent = undefined;
   }
 }
 
-/** Whether two states differ in the load and the number of passes at most. */
+/**
+ * Whether two states differ at most in the load and the number of the
+ * iteration.
+ */
 function isSameExceptLoad(
   left: wire.RankStatus,
   right: wire.RankStatus,
--- a/packages/daemon/src/rank_group/heartbeat_record_test.ts
+++ b/packages/daemon/src/rank_group/heartbeat_record_test.ts
@@ -4,7 +4,7 @@
 
 const test = ava.default;
 
-test("a state that stays is told four times a second", (t) => {
+test("a state that differs only in load is sent four times a second", (t) => {
   const record = new heartbeatRecord.HeartbeatRecord();
   let sent = 0;
   for (let now = 0; now < 2_000; now += 40) {
@@ -19,8 +19,9 @@
   t.true(sent >= 7 && sent <= 9);
 });
 
-// The leader waits for each stage of a switch: a loaded map, a held pass.
-test("a stage of a switch is told at once", (t) => {
+// The leader waits for each stage of a switch, such as a loaded map or a held
+// iteration.
+test("a new stage of a switch is sent at once", (t) => {
   const record = new heartbeatRecord.HeartbeatRecord();
   record.recordIfDue(rankFixture.createStatus(), 0);
   t.true(
@@ -40,7 +41,7 @@
   );
 });
 
-test("a new leader is told all", (t) => {
+test("a new leader is sent the state at once", (t) => {
   const record = new heartbeatRecord.HeartbeatRecord();
   record.recordIfDue(rankFixture.createStatus(), 0);
   record.reset();
--- a/packages/daemon/src/rank_group/iterations_ahead.ts
+++ b/packages/daemon/src/rank_group/iterations_ahead.ts
@@ -1,27 +1,35 @@
-/** Passes ahead of the one under way at which a switch is aimed at least, and most. */
+/** Limits of the distance, in iterations. */
 const MIN_ITERATIONS = 2;
 const MAX_ITERATIONS = 6;
 /**
- * Part of the pass under way that is counted as gone by. Counted as all gone by, arming
- * that takes little more than a pass would leave the slow map in force for one pass
- * more; at worst the pass that switches is now held for the rest.
+ * Share of the current iteration that counts as elapsed. If all of it counted,
+ * arming that takes slightly longer than an iteration would keep the slow map
+ * in force for one more iteration. With this share the iteration of the switch
+ * is at worst held for the rest of one.
  */
 const ELAPSED_SHARE = 0.7;
-/** Part of the longest time that is kept from one switch to the next. */
+/**
+ * Share of the longest arming time that is retained from one switch to the
+ * next.
+ */
 const RETAINED_SHARE = 0.85;
 
 /**
- * How many passes ahead a switch is aimed. A pass that is held before all ranks are
- * armed holds up every stream of the group; one too far ahead leaves the slow map in
- * force for longer. So the distance follows the time that arming took lately. For days
- * on which engines leave many orders unanswered, and arming takes several passes.
+ * How many iterations after the current one a switch takes place. If that
+ * iteration is due before all ranks are armed, it is held, and every stream of
+ * the group waits. If it is too far ahead, the slow map stays in force for
+ * longer. So the distance follows the recent arming times. They amount to
+ * several iterations while engines leave many orders unanswered.
  */
 export class IterationsAhead {
   #armMilliseconds = 0;
   #iterationMilliseconds = 0;
   #last: { step: number; at: number } | undefined;
 
-  /** Notes the last pass that was begun. */
+  /**
+   * Records the last iteration that was begun, to measure the length of an
+   * iteration.
+   */
   noteIteration(step: number, now: number): void {
     const last = this.#last;
     if (last && step <= last.step) return;
@@ -30,13 +38,13 @@
     this.#last = { step, at: now };
   }
 
-  /** Notes how long it took to arm all ranks. */
+  /** Records how long it took to arm all ranks. */
   noteArming(milliseconds: number): void {
     const retained = this.#armMilliseconds * RETAINED_SHARE;
     this.#armMilliseconds = Math.max(milliseconds, retained);
   }
 
-  /** Passes between the one under way and the one that switches. */
+  /** Number of iterations between the current one and the one of the switch. */
   get count(): number {
     if (this.#iterationMilliseconds <= 0) return MIN_ITERATIONS;
     const armingIterations =
--- a/packages/daemon/src/rank_group/map_difference.ts
+++ b/packages/daemon/src/rank_group/map_difference.ts
@@ -1,6 +1,6 @@
 import type * as wire from "@geraniumkeel/wire";
 
-/** What ranks give up and take in from one map to the next. */
+/** The experts that each rank removes and adds from one map to the next. */
 export function differenceOf(
   base: wire.RankMap,
   next: wire.RankMap,
@@ -17,9 +17,9 @@
 }
 
 /**
- * A map after some exchanges. Experts of all ranks are in rising order, as they are in
- * a map that is sent whole: engines may compare lists, and ranks told in different
- * ways must have the same.
+ * Applies exchanges to a map. The experts of every rank are in rising order, as
+ * in a map that is sent in full: engines may compare the lists, and all ranks
+ * must get the same map in whichever form it was sent.
  */
 export function withExchanges(
   base: wire.RankMap,
@@ -36,7 +36,7 @@
   return next;
 }
 
-/** Numbers that a map takes. */
+/** How many numbers a map consists of. */
 export function sizeOfMap(map: wire.RankMap): number {
   return map.reduce(
     (sum, ranks) =>
@@ -45,7 +45,9 @@
   );
 }
 
-/** Numbers that exchanges take. */
+/**
+ * How many numbers exchanges consist of, apart from the lengths of their lists.
+ */
 export function sizeOfExchanges(
   exchanges: readonly wire.RankMapExchange[],
 ): number {
@@ -55,7 +57,7 @@
   );
 }
 
-/** Ranks of each expert, from the experts of each rank. */
+/** Converts the experts of each rank to the ranks of each expert, by layer. */
 export function placesOf(map: wire.RankMap, experts: number): number[][][] {
   return map.map((layer) => {
     const places = Array.from({ length: experts }, (): number[] => []);
@@ -66,7 +68,7 @@
   });
 }
 
-/** Experts of each rank, from the ranks of each expert. */
+/** Converts the ranks of each expert to the experts of each rank, by layer. */
 export function mapOf(places: number[][][], ranks: number): wire.RankMap {
   return places.map((layer) => {
     const map = Array.from({ length: ranks }, (): number[] => []);
--- a/packages/daemon/src/rank_group/map_difference_test.ts
+++ b/packages/daemon/src/rank_group/map_difference_test.ts
@@ -8,7 +8,7 @@
   [[0], [1, 3], [2]],
 ];
 
-test("a map is made of another one and what ranks exchange", (t) => {
+test("the exchanges between two maps turn the base map into the next", (t) => {
   const next = [
     [[0, 1], [2], [0, 3]],
     [[1], [1, 3], [2]],
@@ -22,9 +22,10 @@
   t.deepEqual(BASE[1][0], [0]);
 });
 
-// Streams meet two maps in one pass, as far as engines tell: a rank that was told the
-// map whole and one that made it of changes hold the same experts in another order.
-test("a map made of changes has its experts in the order of one sent whole", (t) => {
+// A rank that received the full map and one that derived it from changes would
+// hold the same experts in another order. To engines that compare the lists,
+// the group would use two maps in one iteration.
+test("a map derived from changes has its experts in the order of a full map", (t) => {
   const unordered = [[[1, 0], [2], [3]], BASE[1]];
   const whole = [[[0, 1], [2, 3], [3]], BASE[1]];
   const exchanges = mapDifference.differenceOf(unordered, whole);
@@ -32,11 +33,11 @@
   t.deepEqual(mapDifference.withExchanges(unordered, exchanges), whole);
 });
 
-test("equal maps differ in nothing", (t) => {
+test("equal maps have no exchanges", (t) => {
   t.deepEqual(mapDifference.differenceOf(BASE, BASE), []);
 });
 
-test("sizes are counted in numbers", (t) => {
+test("the size of a map is how many numbers it consists of", (t) => {
   t.is(mapDifference.sizeOfMap(BASE), 8);
   t.is(
     mapDifference.sizeOfExchanges([
--- a/packages/daemon/src/rank_group/map_planner.ts
+++ b/packages/daemon/src/rank_group/map_planner.ts
@@ -5,52 +5,59 @@
 import * as copyCost from "./copy_cost.ts";
 
 /**
- * How often it is weighed whether a new map pays while demand stays as it is. A plan
- * costs the small host one to two milliseconds of its processor.
+ * How often a new map is considered while demand is stable. A plan takes one to
+ * two milliseconds of processor time on a small host.
  */
 const PLAN_INTERVAL_MILLISECONDS = 200;
-/** Time after a shift in which it is weighed at every look. */
+/** Time after a shift in which a new map is considered at every check. */
 const AFTER_SHIFT_MILLISECONDS = 1_000;
 /**
- * Copies that a switch must be worth besides its own. Orders and readings of all
- * ranks cost as much, and a switch under way holds up the answer to a shift.
+ * Cost of a switch besides its copies, in copies that it must save in addition.
+ * Sending orders to all ranks and reading them costs as much, and a switch in
+ * progress delays the reaction to a shift.
  */
 const SWITCH_COST_IN_COPIES = 3;
 /**
- * Part of the slowest ranks' time that a switch must save, however little its copies
- * cost: orders go to all ranks, passes take longer meanwhile, and the next shift finds
- * the group at it.
+ * Minimum share of the slowest ranks' time that a switch must save, however
+ * cheap its copies are. The orders go to all ranks, iterations take longer
+ * during a switch, and the next shift may come before the switch is complete.
  */
 const MIN_SWITCH_SAVING = 0.1;
 /**
- * Part of the slowest ranks' time that any copy must save. Where copies are nearly
- * free, the many that gain next to nothing make the order longer, and every rank waits
- * for the rank that loads most.
+ * Minimum share of the slowest ranks' time that any copy must save. Where
+ * copies cost almost nothing, many that save almost nothing would make the
+ * order longer, and every rank would wait for the rank that loads most.
  */
 const MIN_COPY_SAVING = 0.01;
-/** Time in which the worst skew that was seen is forgotten by half. */
+/** Half-life of the worst skew that was seen. */
 const SKEW_HALF_LIFE_MILLISECONDS = 10_000;
 
-/** What is planned for. */
+/** The group for which maps are planned. */
 export interface MapPlannerParameters {
   ranks: number;
   shape: traffic.EngineShape;
-  /** Longest pause between two events that is in time; 0 if none is told. */
+  /**
+   * Longest pause between two events of a stream that still counts as on time,
+   * in milliseconds; 0 if no route sets one.
+   */
   gapMilliseconds: number;
   demand: demandModule.Demand;
 }
 
-/** A map that pays, and what it was weighed by. */
+/** A map that pays, with the strain under which it was planned. */
 export interface PlannedMap {
   plan: planQuick.QuickPlan;
-  /** How near the group is to its longest pause; 1 and more: beyond it. */
+  /**
+   * Strain of the group as `copyCost.strainOf` computes it; from 1 on, a shift
+   * of demand would make streams late.
+   */
   strain: number;
 }
 
 /**
- * Decides when a group gets a new map, and which one. For days on which what is liked
- * shifts every few seconds: at once after a shift, seldom in between, and only for as
- * many copies as repay their loading.
+ * Decides when a group gets a new map, and which one. Designed for demand that
+ * shifts every few seconds: plans at once after a shift, seldom in between, and
+ * only as many copies as save more than their loading costs.
  */
 export class MapPlanner {
   #worstSkew = { skew: 1, at: 0 };
@@ -58,7 +65,10 @@
 
   constructor(readonly parameters: MapPlannerParameters) {}
 
-  /** Whether it is time to weigh a new map. Looks for shifts, so call it often. */
+  /**
+   * Whether it is time to consider a new map. Also checks for shifts of demand,
+   * so the caller has to call it often.
+   */
   isDue(now: number): boolean {
     const { demand } = this.parameters;
     if (!demand.known) return false;
@@ -67,7 +77,10 @@
     return now - this.#plannedAt >= PLAN_INTERVAL_MILLISECONDS;
   }
 
-  /** The next map, or `undefined` if none pays. `places`: ranks of each expert. */
+  /**
+   * Plans the next map. Returns `undefined` if none saves enough. `places`
+   * lists the ranks of each expert under the map in force.
+   */
   plan(
     now: number,
     statuses: readonly wire.RankStatus[],
@@ -105,7 +118,10 @@
     return { plan, strain };
   }
 
-  /** Worst skew seen of late: what the next shift of demand will bring. */
+  /**
+   * The worst skew seen recently, which is the skew to expect after the next
+   * shift of demand.
+   */
   #skewAfterShift(now: number): number {
     const halvings = (now - this.#worstSkew.at) / SKEW_HALF_LIFE_MILLISECONDS;
     return 1 + (this.#worstSkew.skew - 1) * 0.5 ** halvings;
--- a/packages/daemon/src/rank_group/map_planner_test.ts
+++ b/packages/daemon/src/rank_group/map_planner_test.ts
@@ -17,14 +17,17 @@
   );
 }
 
-/** Each expert on one rank, in turn. */
+/** Places each expert on one rank, in turn. */
 function firstPlaces(): number[][][] {
   return Array.from({ length: SHAPE.layers }, () =>
     Array.from({ length: EXPERTS }, (_, expert) => [expert % RANKS]),
   );
 }
 
-/** Choices of one rank of which most fall on a few experts, from `liked` on. */
+/**
+ * The activations that one rank counts when most fall on a few experts,
+ * beginning with `firstPopular`.
+ */
 function counted(random: common.Random, firstPopular: number): number[] {
   return Array.from({ length: SHAPE.layers * EXPERTS }, (_, index) => {
     const place = (index - firstPopular + EXPERTS) % EXPERTS;
@@ -58,7 +61,7 @@
   }
 }
 
-/** Experts loaded, map after map, until no further map pays. */
+/** Number of experts loaded, map after map, until no further map pays. */
 function copiesUntilEven(active: number): number {
   const { planner, demand } = createPlanner();
   feed(demand, new common.Random(5), 4, 0);
@@ -78,9 +81,10 @@
   t.false(planner.isDue(0));
 });
 
-// Streams pause for the slowest rank until the next map is in force: a shift is
-// answered at the next look, and demand that stays is weighed five times a second.
-test("a shift is planned for at once, and calm demand seldom", (t) => {
+// Streams wait for the slowest rank until the next map is in force. So a shift
+// is planned for at the next check; while demand is stable, a new map is
+// considered five times a second.
+test("a map is planned at once after a shift, and seldom while demand is stable", (t) => {
   const { planner, demand } = createPlanner();
   const random = new common.Random(5);
   let now = 0;
@@ -92,15 +96,16 @@
   t.true(planner.isDue(now + 100));
 });
 
-// Full of requests, the next shift would push every pass over the longest pause;
-// nearly empty, no caller is served sooner by a more even map.
+// In a full group, the next shift would make every iteration longer than the
+// longest pause. In a nearly empty one, a more balanced map makes no answer
+// faster.
 test("a full group loads more experts than one with room", (t) => {
   const copies = [1, 8].map((active) => copiesUntilEven(active));
   t.true(copies[0] > 0);
   t.true(copies[1] > copies[0]);
 });
 
-test("a map that is even already is left as it is", (t) => {
+test("a map that is already balanced is not changed", (t) => {
   const { planner, demand } = createPlanner();
   demand.add(0, new Array<number>(SHAPE.layers * EXPERTS).fill(2_000), 0);
   t.is(planner.plan(0, statusesOf(8), firstPlaces()), undefined);
--- a/packages/daemon/src/rank_group/read_group_model.ts
+++ b/packages/daemon/src/rank_group/read_group_model.ts
@@ -2,10 +2,14 @@
 import type * as traffic from "@geraniumkeel/traffic";
 import type * as wire from "@geraniumkeel/wire";
 
-/** Pause before the store is asked again for the shape of the engines. */
+/** Pause before the store is read again. */
 const RETRY_PAUSE_MILLISECONDS = 300;
 
-/** Reads from the configuration what a group's engines are, until it is there. */
+/**
+ * Reads the shape of a group's engines and the longest pause of its streams
+ * from the configuration. Retries until both are available; `undefined` if the
+ * signal aborts first.
+ */
 export async function readGroupModel(parameters: {
   configurationSource: traffic.DocumentSource<traffic.TrafficConfiguration>;
   service: string;
@@ -29,7 +33,10 @@
   return undefined;
 }
 
-/** What the configuration says of a service's engines and of their streams. */
+/**
+ * The model of a service's group; `undefined` if the configuration does not
+ * describe its engines.
+ */
 function modelOf(
   configuration: traffic.TrafficConfiguration,
   service: string,
--- a/packages/daemon/src/rank_group/reading_plan.ts
+++ b/packages/daemon/src/rank_group/reading_plan.ts
@@ -1,64 +1,91 @@
 import type * as wire from "@geraniumkeel/wire";
 
-/** What the process beside a rank is to its group. */
+/** Role of the process beside a rank in its group. */
 export enum GroupRole {
   /** It leads the group. */
   Leader = "leads",
-  /** It leads the group, and has it switch to another map. */
+  /** It leads the group, and a switch to another map is in progress. */
   Switching = "switches",
-  /** It hears a leader. */
+  /** It receives heartbeats from a leader. */
   Follower = "follows",
-  /** It hears none. */
+  /** It neither leads nor receives heartbeats. */
   Leaderless = "alone",
 }
 
 /**
- * How often a follower reads its engine's state while nothing is asked of it. What
- * happens to the group the leader sees at its own rank; from the others it learns that
- * they are there, which counts for 900 ms, and how many requests they have.
+ * How often a follower reads the state of its engine while nothing else is
+ * asked of it. The leader sees the state of the group at its own rank. From the
+ * others it learns that they are reachable, which counts for 900 ms, and how
+ * many requests they have.
  */
 const FOLLOWER_PERIOD_MILLISECONDS = 500;
-/** The same for a leader, and for a rank without one. */
+/**
+ * The same for a leader of a group without requests, and for a rank without a
+ * leader.
+ */
 const CALM_PERIOD_MILLISECONDS = 300;
-/** The same for a leader whose group runs requests: it aims switches by the passes. */
+/**
+ * The same for a leader whose group runs requests. From these readings it
+ * measures the iterations, to choose the iteration of a switch.
+ */
 const LEADER_PERIOD_MILLISECONDS = 150;
-/** While the engine has told nothing yet: it may take seconds to start. */
+/** The same before the first reading. The engine may take seconds to start. */
 const UNKNOWN_STATE_PERIOD_MILLISECONDS = 100;
-/** While the rank holds a pass, or its own process has the group switch. */
+/**
+ * The same while the rank holds or is about to hold an iteration, while a map
+ * is overdue, and for a leader during a switch.
+ */
 const CLOSE_PERIOD_MILLISECONDS = 40;
 /**
- * While the group is being formed, or has its first map with requests there: that map
- * leaves the slowest rank almost three times the mean until demand is known.
+ * The same while the group is not yet open, or has its first map and requests.
+ * Under the first map the slowest rank takes almost three times the mean until
+ * demand is known.
  */
 const NEWLY_FORMED_PERIOD_MILLISECONDS = 80;
-/** While a map should be loaded: all ranks wait for the one that is seen last. */
+/**
+ * The same from the time at which a map should be loaded. All ranks wait for
+ * the one that is seen last to have loaded it.
+ */
 const LOADED_PERIOD_MILLISECONDS = 15;
-/** After this time beyond the one in which a map should be loaded, reading it so is vain. */
+/**
+ * Time after the expected end of loading from which reading so often is
+ * useless.
+ */
 const OVERDUE_MILLISECONDS = 400;
 
-/** How often choices are read while few requests run: little is gained by haste. */
+/**
+ * Shortest period between readings of the activations while few requests run.
+ * More frequent ones show little more.
+ */
 const MIN_IDLE_COUNT_PERIOD_MILLISECONDS = 300;
-/** Requests from which an engine counts as busy. */
+/** Number of requests from which an engine counts as busy. */
 const MIN_BUSY_REQUESTS = 3;
 
-/** What decides when an engine is read. */
+/** What determines when an engine is read. Times are those of `common.now`. */
 export interface ReadingState {
   role: GroupRole;
-  /** As last read; `undefined` before the first reading. */
+  /** State as last read; `undefined` before the first reading. */
   status: wire.RankStatus | undefined;
-  /** When the map that the engine loads should be there; `undefined` if it loads none. */
+  /**
+   * When the engine should have loaded its next map; `undefined` if it loads
+   * none.
+   */
   expectedLoadedAt: number | undefined;
-  /** Until when the state is read closely: the rank is about to hold a pass. */
+  /**
+   * Until when to read the state closely, because the rank is about to hold an
+   * iteration.
+   */
   closelyUntil: number;
-  /** How often the leader asks for choices; 0 for never. */
+  /** How often the leader wants activations counted; 0 for never. */
   countMilliseconds: number;
   now: number;
 }
 
 /**
- * When an engine's state is read next. For groups of which each rank's process has a
- * small part of a core: every reading costs as much as some hundred messages' bytes, and
- * most of what it tells is known at another rank.
+ * When to read the engine's state next. Meant for groups in which the process
+ * beside each rank has a small share of a core: a reading costs as much
+ * processor time as the bytes of some hundred messages, and most of what it
+ * shows is known at another rank.
  */
 export function nextStateReadingAt(
   state: ReadingState,
@@ -70,7 +97,7 @@
   if (isClose) return readAt + CLOSE_PERIOD_MILLISECONDS;
   const period = periodOf(state, status);
   if (expectedLoadedAt === undefined) return readAt + period;
-  // Nothing is new before the map is there.
+  // The state shows nothing new before the map is loaded.
   const isOverdue = now > expectedLoadedAt + OVERDUE_MILLISECONDS;
   const pause = isOverdue
     ? CLOSE_PERIOD_MILLISECONDS
@@ -78,6 +105,10 @@
   return Math.max(expectedLoadedAt, readAt + pause);
 }
 
+/**
+ * Period of the readings while the engine neither loads a map nor is about to
+ * hold an iteration, in milliseconds.
+ */
 function periodOf(state: ReadingState, status: wire.RankStatus): number {
   const { role, countMilliseconds } = state;
   if (!status.open) return NEWLY_FORMED_PERIOD_MILLISECONDS;
@@ -102,7 +133,10 @@
   }
 }
 
-/** When an engine's choices are read next; never if nobody asks or nothing runs. */
+/**
+ * When to read the engine's activations next; `Infinity` if the leader wants
+ * none or no request runs. `allReport`: whether all ranks of the group report.
+ */
 export function nextCountReadingAt(
   state: ReadingState,
   readAt: number,
@@ -121,7 +155,7 @@
   return readAt + period;
 }
 
-/** Whether the group is being formed, or still has its first map. */
+/** Whether the group is not yet open or still uses its first map. */
 export function isNewlyFormed(status: wire.RankStatus): boolean {
   return !status.open || status.mapVersion === 0;
 }
--- a/packages/daemon/src/rank_group/reading_plan_test.ts
+++ b/packages/daemon/src/rank_group/reading_plan_test.ts
@@ -20,7 +20,7 @@
   };
 }
 
-/** Readings of the state in a second, each at its time. */
+/** How often the state is read in a second. */
 function readingsASecond(
   stateAt: (now: number) => readingPlan.ReadingState,
 ): number {
@@ -34,9 +34,9 @@
   return readings;
 }
 
-// The process beside each rank of an idle group spends more of its host on looking than
-// on all else it does.
-test("a rank that serves nobody is read twice a second, whatever map it has", (t) => {
+// Otherwise the process beside each rank of an idle group would use more of its
+// host's processor for readings than for all its other work.
+test("a rank without requests is read twice a second, whatever map it has", (t) => {
   for (const mapVersion of [0, 7]) {
     const status = rankFixture.createStatus({ active: 0, mapVersion });
     const readings = readingsASecond((now) => stateOf({ status, now }));
@@ -44,40 +44,41 @@
   }
 });
 
-// A leader takes a rank that it has not heard for 900 ms for gone, and reads its engine
-// from afar, which holds up the group.
-test("a follower is read well before its leader takes it for gone", (t) => {
+// A leader considers a state older than 900 ms out of date and reads that
+// engine over the network, which delays the group.
+test("a follower is read well before its state is out of date for the leader", (t) => {
   t.true(readingPlan.nextStateReadingAt(stateOf(), NOW) <= NOW + 600);
 });
 
-// All ranks of a group wait for the one that is seen last to have loaded its map.
-test("a map is looked for when it should be loaded, and closely from then on", (t) => {
+// All ranks of a group wait for the one that is seen last to have loaded its
+// map.
+test("an engine is read when its map should be loaded, and closely from then on", (t) => {
   const loading = stateOf({ expectedLoadedAt: NOW + 300 });
   t.is(readingPlan.nextStateReadingAt(loading, NOW), NOW + 300);
   const due = stateOf({ expectedLoadedAt: NOW - 100 });
   t.true(readingPlan.nextStateReadingAt(due, NOW) <= NOW + 15);
 });
 
-test("a rank that is about to hold a pass, or holds one, is read closely", (t) => {
+test("a rank that holds or is about to hold an iteration is read closely", (t) => {
   const announced = stateOf({ closelyUntil: NOW + 50 });
   t.true(readingPlan.nextStateReadingAt(announced, NOW) <= NOW + 40);
   const status = rankFixture.createStatus({ heldStep: 12 });
   t.true(readingPlan.nextStateReadingAt(stateOf({ status }), NOW) <= NOW + 40);
 });
 
-// The group keeps its first map, under which all streams are late, until it is seen to
-// be open, and until somebody has counted.
-test("a group that is being formed is read closely", (t) => {
+// All streams are late under the first map. The group keeps it until its leader
+// sees that it is open and receives counts.
+test("the engines of a group that is not yet open are read closely", (t) => {
   const status = rankFixture.createStatus({ open: false, mapVersion: 0 });
   t.true(readingPlan.nextStateReadingAt(stateOf({ status }), NOW) <= NOW + 80);
 });
 
-test("a leader sees closely which pass its group is at while it switches", (t) => {
+test("a leader reads its engine closely during a switch", (t) => {
   const role = readingPlan.GroupRole.Switching;
   t.true(readingPlan.nextStateReadingAt(stateOf({ role }), NOW) <= NOW + 40);
 });
 
-test("nobody reads choices that nobody asked for, or where nothing runs", (t) => {
+test("activations are not read if the leader wants none or no request runs", (t) => {
   t.is(readingPlan.nextCountReadingAt(stateOf(), NOW, false), Infinity);
   const status = rankFixture.createStatus({ active: 0 });
   const idle = stateOf({ status, countMilliseconds: 100 });
