--- a/packages/daemon/src/rank_group/copy_cost.ts
+++ b/packages/daemon/src/rank_group/copy_cost.ts
@@ -11,7 +11,7 @@
 /**
  * Share of the slowest ranks' time that loading one expert must save, at low
  * and at high strain. Every copy occupies the link of a rank for a while. At
- * low strain only the worst peaks are worth that, as no answer is later because
+ * low strain only the worst peaks justify that, as no answer is later because
  * of the others. Near the longest pause one percent is enough: a stream with
  * one pause that is too long counts as late, and all streams of a group pause
  * together.
@@ -100,7 +100,7 @@
  * that gains from shorter iterations. At one millisecond the cost is 1. In a
  * large group many requests gain from a short copy. If copies cost the same
  * there as in a small group, some that are almost free would be left out, and
- * the slowest rank would stay slow.
+ * the slowest rank would stay slow. 1 if the time to load is unknown.
  */
 export function costOfCopy(shape: traffic.EngineShape, ranks: number): number {
   const { copyMilliseconds, slots } = shape;
--- a/packages/daemon/src/rank_group/count_plan.ts
+++ b/packages/daemon/src/rank_group/count_plan.ts
@@ -31,7 +31,7 @@
   /** Ranks that can report, in rising order. */
   linkedRanks: readonly number[];
   /**
-   * How many counts one reading holds: the experts over all layers. 0 while the
+   * How many counts one reading has: the experts over all layers. 0 while the
    * model is unknown.
    */
   countsPerReading: number;
--- a/packages/daemon/src/rank_group/demand_test.ts
+++ b/packages/daemon/src/rank_group/demand_test.ts
@@ -11,14 +11,14 @@
  * What one rank counts in a period, with random variation, when one group of
  * four experts is popular.
  */
-function counted(random: common.Random, popular: number): number[] {
+function skewedCounts(random: common.Random, popular: number): number[] {
   return Array.from({ length: EXPERTS }, (_, expert) => {
     const mean = Math.floor(expert / 4) === popular ? 300 : 40;
     return Math.round(mean * random.between(0.85, 1.15));
   });
 }
 
-function feed(
+function addCounts(
   demand: demandModule.Demand,
   random: common.Random,
   span: { from: number; periods: number; popular: number },
@@ -27,7 +27,7 @@
   for (let period = 0; period < span.periods; period++) {
     now += PERIOD_MILLISECONDS;
     for (let rank = 0; rank < 4; rank++) {
-      demand.add(rank, counted(random, span.popular), now);
+      demand.add(rank, skewedCounts(random, span.popular), now);
     }
     demand.detectShift(now);
   }
@@ -36,7 +36,7 @@
 
 test("random differences between readings are no shift", (t) => {
   const demand = new demandModule.Demand(EXPERTS);
-  feed(demand, new common.Random(1), { from: 0, periods: 40, popular: 1 });
+  addCounts(demand, new common.Random(1), { from: 0, periods: 40, popular: 1 });
   t.is(demand.shifts, 0);
 });
 
@@ -46,8 +46,8 @@
 test("a shift is detected within three readings and earlier demand is dropped", (t) => {
   const demand = new demandModule.Demand(EXPERTS);
   const random = new common.Random(2);
-  const now = feed(demand, random, { from: 0, periods: 30, popular: 1 });
-  feed(demand, random, { from: now, periods: 3, popular: 3 });
+  const now = addCounts(demand, random, { from: 0, periods: 30, popular: 1 });
+  addCounts(demand, random, { from: now, periods: 3, popular: 3 });
   t.true(demand.shifts >= 1);
   const [layer] = demand.load;
   t.true(layer[12] > layer[4] * 1.5);
@@ -60,15 +60,17 @@
 test("readings that began before a shift do not stay in the long view", (t) => {
   const demand = new demandModule.Demand(EXPERTS);
   const random = new common.Random(3);
-  const now = feed(demand, random, { from: 0, periods: 30, popular: 1 });
-  const half = (rank: number) =>
-    counted(random, 1).map(
-      (count, expert) => (count + counted(random, 3)[expert] * (rank % 2)) / 2,
+  const now = addCounts(demand, random, { from: 0, periods: 30, popular: 1 });
+  const halfShifted = (rank: number) =>
+    skewedCounts(random, 1).map(
+      (count, expert) =>
+        (count + skewedCounts(random, 3)[expert] * (rank % 2)) / 2,
     );
-  for (let rank = 0; rank < 4; rank++) demand.add(rank, half(rank), now + 100);
+  for (let rank = 0; rank < 4; rank++)
+    demand.add(rank, halfShifted(rank), now + 100);
   demand.detectShift(now + 100);
   for (let rank = 0; rank < 4; rank++) {
-    demand.add(rank, counted(random, 3), now + 200);
+    demand.add(rank, skewedCounts(random, 3), now + 200);
   }
   demand.detectShift(now + 200);
   const [layer] = demand.load;
--- a/packages/daemon/src/rank_group/execute_order.ts
+++ b/packages/daemon/src/rank_group/execute_order.ts
@@ -19,8 +19,8 @@
 /**
  * Has an engine carry out an order, and repeats the order until its outcome is
  * known. An order without an answer may still be carried out seconds later,
- * after newer ones. Two things prevent that such a late copy gives the ranks of
- * a group different maps:
+ * after newer ones. Two things prevent such a late copy from giving the ranks
+ * of a group different maps:
  *
  * - The order applies to one switch only: it names a version that is never used
  *   again, and an iteration that is over by then.
--- a/packages/daemon/src/rank_group/group_leader.ts
+++ b/packages/daemon/src/rank_group/group_leader.ts
@@ -51,7 +51,7 @@
    * The map of a version that this process prepared earlier; `undefined` if it
    * is no longer cached.
    */
-  rememberedMap: (version: number) => wire.RankMap | undefined;
+  cachedMap: (version: number) => wire.RankMap | undefined;
   logger: common.Logger;
 }
 
@@ -107,7 +107,7 @@
       const allFresh = handles.every((handle) => handle.fresh);
       if (recoverSwitch.isAnyHeld(handles)) await this.#recoverSwitch();
       else if (allFresh) await this.#improveMap();
-      else await this.#refreshUnreachable();
+      else await this.#refreshOutdated();
       await common.sleep(POLL_MILLISECONDS, signal);
     }
   }
@@ -116,11 +116,9 @@
    * Reads the state of ranks directly from their engines if the processes
    * beside them have sent none recently.
    */
-  async #refreshUnreachable(): Promise<void> {
-    const unreachable = this.parameters.handles.filter(
-      (handle) => !handle.fresh,
-    );
-    await Promise.all(unreachable.map((handle) => handle.refresh()));
+  async #refreshOutdated(): Promise<void> {
+    const outdated = this.parameters.handles.filter((handle) => !handle.fresh);
+    await Promise.all(outdated.map((handle) => handle.refresh()));
   }
 
   async #recoverSwitch(): Promise<void> {
@@ -144,7 +142,7 @@
 
   /** The map in force, or else the last one prepared, under a new version. */
   async #fallbackMap(): Promise<recoverSwitch.FallbackMap | undefined> {
-    const { own, rememberedMap } = this.parameters;
+    const { own, cachedMap: rememberedMap } = this.parameters;
     const { mapVersion = 0, preparedVersion = 0 } = own.status ?? {};
     const map =
       rememberedMap(mapVersion) ??
@@ -164,14 +162,17 @@
     const planned = this.#planner.plan(
       startedAt,
       handles.flatMap(({ status }) => (status ? [status] : [])),
-      mapDifference.placesOf(map, shape.expertsPerLayer),
+      mapDifference.ranksOfExperts(map, shape.expertsPerLayer),
     );
     if (!planned) return;
     const planMilliseconds = common.now() - startedAt;
     const { distance, shifts } = this.parameters.demand;
     const before = { distance, shifts, planMilliseconds };
     const version = this.#nextVersion();
-    const next = mapDifference.mapOf(planned.plan.places, identity.size);
+    const next = mapDifference.expertsOfRanks(
+      planned.plan.places,
+      identity.size,
+    );
     const outcome = await this.#switchTo(next, version, map);
     this.#logSwitch(version, planned, before, outcome);
     switch (outcome.kind) {
@@ -291,11 +292,13 @@
     const rankLists = await Promise.all(
       handles.map((handle) => handle.lists()),
     );
-    const sameVersion = rankLists.every((one) => one?.version === versions[0]);
+    const sameVersion = rankLists.every(
+      (list) => list?.version === versions[0],
+    );
     if (!sameVersion) return undefined;
     const layers = rankLists[0]?.experts.length ?? 0;
     this.#map = Array.from({ length: layers }, (_, layer) =>
-      rankLists.map((one) => one?.experts[layer] ?? []),
+      rankLists.map((list) => list?.experts[layer] ?? []),
     );
     this.#mapVersion = versions[0] ?? -1;
     return this.#map;
--- a/packages/daemon/src/rank_group/heartbeat_record.ts
+++ b/packages/daemon/src/rank_group/heartbeat_record.ts
@@ -7,10 +7,10 @@
 const MAX_PAUSE_MILLISECONDS = 250;
 
 /**
- * The state that a rank sent its leader last; decides whether a new one is
- * worth a heartbeat. While an engine loads a map, the process beside it reads
- * its state 25 times a second. If each were sent, the leader of a group of 63
- * would receive 1,500 states a second, almost all of them the same.
+ * The state that a rank sent its leader last; decides whether a new one is due
+ * for a heartbeat. While an engine loads a map, the process beside it reads its
+ * state 25 times a second. If each were sent, the leader of a group of 63 would
+ * receive 1,500 states a second, almost all of them the same.
  */
 export class HeartbeatRecord {
   #sent: wire.RankStatus | undefined;
--- a/packages/daemon/src/rank_group/iterations_ahead.ts
+++ b/packages/daemon/src/rank_group/iterations_ahead.ts
@@ -1,6 +1,6 @@
-/** Limits of the distance, in iterations. */
-const MIN_ITERATIONS = 2;
-const MAX_ITERATIONS = 6;
+/** Smallest and largest number of iterations that a switch is ahead. */
+const MIN_ITERATIONS_AHEAD = 2;
+const MAX_ITERATIONS_AHEAD = 6;
 /**
  * Share of the current iteration that counts as elapsed. If all of it counted,
  * arming that takes slightly longer than an iteration would keep the slow map
@@ -9,8 +9,7 @@
  */
 const ELAPSED_SHARE = 0.7;
 /**
- * Share of the longest arming time that is retained from one switch to the
- * next.
+ * Share of the longest recent arming time that still counts at the next switch.
  */
 const RETAINED_SHARE = 0.85;
 
@@ -46,10 +45,13 @@
 
   /** Number of iterations between the current one and the one of the switch. */
   get count(): number {
-    if (this.#iterationMilliseconds <= 0) return MIN_ITERATIONS;
+    if (this.#iterationMilliseconds <= 0) return MIN_ITERATIONS_AHEAD;
     const armingIterations =
       this.#armMilliseconds / this.#iterationMilliseconds;
     const needed = Math.ceil(armingIterations + ELAPSED_SHARE);
-    return Math.min(MAX_ITERATIONS, Math.max(MIN_ITERATIONS, needed));
+    return Math.min(
+      MAX_ITERATIONS_AHEAD,
+      Math.max(MIN_ITERATIONS_AHEAD, needed),
+    );
   }
 }
--- a/packages/daemon/src/rank_group/leader_follower_test.ts
+++ b/packages/daemon/src/rank_group/leader_follower_test.ts
@@ -101,7 +101,7 @@
 }
 
 /** The order to prepare the next map, with the changes from the base map. */
-function prepareNext(): PrepareOrder {
+function prepareNextOrder(): PrepareOrder {
   const version = BASE + 1;
   return {
     kind: wire.RankOrderKind.Prepare,
@@ -133,7 +133,7 @@
   const order = { kind, version: BASE, map: MAP } as const;
   await member.execute({ token: TOKEN, epoch: EPOCH, order });
   await handle.refresh();
-  const reply = await handle.order(prepareNext());
+  const reply = await handle.order(prepareNextOrder());
   t.is(reply.end, wire.RankOrderEnd.Done);
   t.deepEqual(kindsOf(sent), ["prepare-changes"]);
   t.deepEqual(prepared.at(-1)?.map, NEXT);
@@ -147,7 +147,7 @@
   const { handle, sent, close } = createPair(engine);
   t.teardown(close);
   await handle.refresh();
-  const reply = await handle.order(prepareNext());
+  const reply = await handle.order(prepareNextOrder());
   t.is(reply.end, wire.RankOrderEnd.Done);
   t.deepEqual(kindsOf(sent), ["prepare-changes", "prepare"]);
   t.deepEqual(
@@ -161,7 +161,7 @@
   const { handle, sent, close } = createPair(engine);
   t.teardown(close);
   await handle.refresh();
-  await handle.order(prepareNext());
+  await handle.order(prepareNextOrder());
   t.deepEqual(kindsOf(sent), ["prepare"]);
   t.deepEqual(prepared[0].map, NEXT);
 });
--- a/packages/daemon/src/rank_group/linked_rank.ts
+++ b/packages/daemon/src/rank_group/linked_rank.ts
@@ -117,8 +117,8 @@
   }
 
   /**
-   * The experts that the rank holds; `undefined` if neither the process beside
-   * it nor its engine answers.
+   * The experts of the rank under the map in force; `undefined` if neither the
+   * process beside it nor its engine answers.
    */
   async lists(): Promise<wire.RankLists | undefined> {
     const link = this.#link;
--- a/packages/daemon/src/rank_group/map_difference.ts
+++ b/packages/daemon/src/rank_group/map_difference.ts
@@ -27,10 +27,10 @@
 ): wire.RankMap {
   const next = base.map((ranks) => ranks.map((experts) => [...experts]));
   for (const [layer, rank, removed, added] of exchanges) {
-    const kept = next[layer][rank].filter(
+    const retained = next[layer][rank].filter(
       (expert) => !removed.includes(expert),
     );
-    next[layer][rank] = [...kept, ...added];
+    next[layer][rank] = [...retained, ...added];
   }
   for (const experts of next.flat()) experts.sort((a, b) => a - b);
   return next;
@@ -40,14 +40,12 @@
 export function sizeOfMap(map: wire.RankMap): number {
   return map.reduce(
     (sum, ranks) =>
-      sum + ranks.reduce((ofLayer, experts) => ofLayer + experts.length, 0),
+      sum + ranks.reduce((layerSum, experts) => layerSum + experts.length, 0),
     0,
   );
 }
 
-/**
- * How many numbers exchanges consist of, apart from the lengths of their lists.
- */
+/** How many numbers exchanges consist of. */
 export function sizeOfExchanges(
   exchanges: readonly wire.RankMapExchange[],
 ): number {
@@ -58,7 +56,10 @@
 }
 
 /** Converts the experts of each rank to the ranks of each expert, by layer. */
-export function placesOf(map: wire.RankMap, experts: number): number[][][] {
+export function ranksOfExperts(
+  map: wire.RankMap,
+  experts: number,
+): number[][][] {
   return map.map((layer) => {
     const places = Array.from({ length: experts }, (): number[] => []);
     layer.forEach((ofRank, rank) => {
@@ -69,7 +70,10 @@
 }
 
 /** Converts the ranks of each expert to the experts of each rank, by layer. */
-export function mapOf(places: number[][][], ranks: number): wire.RankMap {
+export function expertsOfRanks(
+  places: number[][][],
+  ranks: number,
+): wire.RankMap {
   return places.map((layer) => {
     const map = Array.from({ length: ranks }, (): number[] => []);
     layer.forEach((ofExpert, expert) => {
--- a/packages/daemon/src/rank_group/map_difference_test.ts
+++ b/packages/daemon/src/rank_group/map_difference_test.ts
@@ -27,10 +27,10 @@
 // the group would use two maps in one iteration.
 test("a map derived from changes has its experts in the order of a full map", (t) => {
   const unordered = [[[1, 0], [2], [3]], BASE[1]];
-  const whole = [[[0, 1], [2, 3], [3]], BASE[1]];
-  const exchanges = mapDifference.differenceOf(unordered, whole);
+  const fullMap = [[[0, 1], [2, 3], [3]], BASE[1]];
+  const exchanges = mapDifference.differenceOf(unordered, fullMap);
   t.deepEqual(exchanges, [[0, 1, [], [3]]]);
-  t.deepEqual(mapDifference.withExchanges(unordered, exchanges), whole);
+  t.deepEqual(mapDifference.withExchanges(unordered, exchanges), fullMap);
 });
 
 test("equal maps have no exchanges", (t) => {
--- a/packages/daemon/src/rank_group/map_planner.ts
+++ b/packages/daemon/src/rank_group/map_planner.ts
@@ -12,9 +12,9 @@
 /** Time after a shift in which a new map is considered at every check. */
 const AFTER_SHIFT_MILLISECONDS = 1_000;
 /**
- * Cost of a switch besides its copies, in copies that it must save in addition.
- * Sending orders to all ranks and reading them costs as much, and a switch in
- * progress delays the reaction to a shift.
+ * Fixed cost of a switch, in copies: a switch must save at least as much as
+ * this many copies must. Sending orders to all ranks and reading them costs as
+ * much, and a switch in progress delays the reaction to a shift.
  */
 const SWITCH_COST_IN_COPIES = 3;
 /**
@@ -44,7 +44,7 @@
   demand: demandModule.Demand;
 }
 
-/** A map that pays, with the strain under which it was planned. */
+/** A map that saves enough, with the strain under which it was planned. */
 export interface PlannedMap {
   plan: planQuick.QuickPlan;
   /**
--- a/packages/daemon/src/rank_group/map_planner_test.ts
+++ b/packages/daemon/src/rank_group/map_planner_test.ts
@@ -18,7 +18,7 @@
 }
 
 /** Places each expert on one rank, in turn. */
-function firstPlaces(): number[][][] {
+function initialPlaces(): number[][][] {
   return Array.from({ length: SHAPE.layers }, () =>
     Array.from({ length: EXPERTS }, (_, expert) => [expert % RANKS]),
   );
@@ -28,10 +28,10 @@
  * The activations that one rank counts when most fall on a few experts,
  * beginning with `firstPopular`.
  */
-function counted(random: common.Random, firstPopular: number): number[] {
+function skewedCounts(random: common.Random, firstPopular: number): number[] {
   return Array.from({ length: SHAPE.layers * EXPERTS }, (_, index) => {
-    const place = (index - firstPopular + EXPERTS) % EXPERTS;
-    const mean = 2_000 * (place + 1) ** -1.3;
+    const position = (index - firstPopular + EXPERTS) % EXPERTS;
+    const mean = 2_000 * (position + 1) ** -1.3;
     return Math.round(mean * random.between(0.9, 1.1));
   });
 }
@@ -50,22 +50,22 @@
   return { planner, demand };
 }
 
-function feed(
+function addCounts(
   demand: demandModule.Demand,
   random: common.Random,
   firstPopular: number,
   now: number,
 ): void {
   for (let rank = 0; rank < RANKS; rank++) {
-    demand.add(rank, counted(random, firstPopular), now);
+    demand.add(rank, skewedCounts(random, firstPopular), now);
   }
 }
 
 /** Number of experts loaded, map after map, until no further map pays. */
-function copiesUntilEven(active: number): number {
+function copiesUntilBalanced(active: number): number {
   const { planner, demand } = createPlanner();
-  feed(demand, new common.Random(5), 4, 0);
-  let places = firstPlaces();
+  addCounts(demand, new common.Random(5), 4, 0);
+  let places = initialPlaces();
   let copies = 0;
   for (let now = 0; now < 10_000; now += 500) {
     const planned = planner.plan(now, statusesOf(active), places);
@@ -88,11 +88,11 @@
   const { planner, demand } = createPlanner();
   const random = new common.Random(5);
   let now = 0;
-  for (; now < 3_000; now += 100) feed(demand, random, 4, now);
+  for (; now < 3_000; now += 100) addCounts(demand, random, 4, now);
   t.true(planner.isDue(now));
-  planner.plan(now, statusesOf(6), firstPlaces());
+  planner.plan(now, statusesOf(6), initialPlaces());
   t.false(planner.isDue(now + 50));
-  feed(demand, random, 30, now + 100);
+  addCounts(demand, random, 30, now + 100);
   t.true(planner.isDue(now + 100));
 });
 
@@ -100,7 +100,7 @@
 // longest pause. In a nearly empty one, a more balanced map makes no answer
 // faster.
 test("a full group loads more experts than one with room", (t) => {
-  const copies = [1, 8].map((active) => copiesUntilEven(active));
+  const copies = [1, 8].map((active) => copiesUntilBalanced(active));
   t.true(copies[0] > 0);
   t.true(copies[1] > copies[0]);
 });
@@ -108,5 +108,5 @@
 test("a map that is already balanced is not changed", (t) => {
   const { planner, demand } = createPlanner();
   demand.add(0, new Array<number>(SHAPE.layers * EXPERTS).fill(2_000), 0);
-  t.is(planner.plan(0, statusesOf(8), firstPlaces()), undefined);
+  t.is(planner.plan(0, statusesOf(8), initialPlaces()), undefined);
 });
--- a/packages/daemon/src/rank_group/rank_engine.ts
+++ b/packages/daemon/src/rank_group/rank_engine.ts
@@ -60,9 +60,9 @@
   report(): Promise<neverthrow.Result<RankReport, string>>;
   /** Reads the activations counted since the engine started. */
   chosen(): Promise<neverthrow.Result<ActivationCounts, string>>;
-  /** Reads which experts the rank holds under the map in force. */
+  /** Reads which experts the rank has loaded under the map in force. */
   lists(): Promise<neverthrow.Result<wire.RankLists, string>>;
-  /** Has the engine carry out an order if the conditions still hold. */
+  /** Has the engine carry out an order if the conditions are still met. */
   order(
     order: wire.RankOrder,
     conditions: OrderConditions,
--- a/packages/daemon/src/rank_group/rank_fixture.ts
+++ b/packages/daemon/src/rank_group/rank_fixture.ts
@@ -2,8 +2,8 @@
 import type * as wire from "@geraniumkeel/wire";
 
 /**
- * For tests: engines like those of a group of twelve ranks that together hold a
- * complete model.
+ * For tests: engines like those of a group of twelve ranks that together serve
+ * a complete model.
  */
 export function createShape(
   others: Partial<traffic.EngineShape> = {},
--- a/packages/daemon/src/rank_group/rank_links.ts
+++ b/packages/daemon/src/rank_group/rank_links.ts
@@ -17,7 +17,7 @@
  */
 const OTHER_GROUP_PAUSE_MILLISECONDS = 5_000;
 /** How long a new leader uses the list of runners from the last leader. */
-const KNOWLEDGE_MAX_AGE_MILLISECONDS = 2_000;
+const MAX_KNOWLEDGE_AGE_MILLISECONDS = 2_000;
 
 /**
  * How many ranks count as likely successors, once by lowest number and once by
@@ -72,7 +72,7 @@
   readonly #runners = new Map<number, traffic.RunnerEntry>();
   readonly #startedAt = common.now();
   /**
-   * How many counts one reading of a rank holds: its experts over all layers. 0
+   * How many counts one reading of a rank has: its experts over all layers. 0
    * while the model is unknown.
    */
   countsPerReading = 0;
@@ -88,8 +88,8 @@
 
   /**
    * Creates the handles of the ranks that the last leader knew. A rank whose
-   * host is frozen cannot say which rank it is, and the group may stand still
-   * until the leader on that host has a successor.
+   * host is frozen cannot say which rank it is. Without its handle this term
+   * would wait for it, while the group may stand still.
    */
   #adoptKnownRanks(): void {
     const { identity } = this.parameters;
@@ -141,15 +141,16 @@
    */
   async maintain(signal: AbortSignal): Promise<void> {
     const { size } = this.parameters.identity;
-    const linked = new Set<string>();
+    const linkedAddresses = new Set<string>();
     const heartbeatTimer = setInterval(
       () => this.#sendHeartbeats(),
       HEARTBEAT_MILLISECONDS,
     );
     try {
       while (!signal.aborted) {
-        const missing = linked.size < size - 1 || this.handles.size < size;
-        if (missing) await this.#linkMissing(linked, signal);
+        const missing =
+          linkedAddresses.size < size - 1 || this.handles.size < size;
+        if (missing) await this.#linkMissing(linkedAddresses, signal);
         await common.sleep(RELINK_MILLISECONDS, signal);
       }
     } finally {
@@ -163,13 +164,13 @@
    * activations.
    */
   #sendHeartbeats(): void {
-    const { identity, onOwnCountPeriod: onOwnCounts } = this.parameters;
+    const { identity, onOwnCountPeriod } = this.parameters;
     const plan = this.#countPlan();
     for (const [link, rank] of this.#links) {
       link.send(this.#heartbeatFor(rank, plan));
     }
     const { countMilliseconds } = this.#heartbeatFor(identity.rank, plan);
-    onOwnCounts(countMilliseconds);
+    onOwnCountPeriod(countMilliseconds);
   }
 
   #countPlan(): countPlan.CountPlan {
@@ -192,15 +193,18 @@
     return { kind, token, group, epoch, countMilliseconds };
   }
 
-  async #linkMissing(linked: Set<string>, signal: AbortSignal): Promise<void> {
+  async #linkMissing(
+    linkedAddresses: Set<string>,
+    signal: AbortSignal,
+  ): Promise<void> {
     const { service, lifeCycle } = this.parameters;
     for (const runner of await this.#possibleRunners()) {
       if (runner.service !== service) continue;
-      if (linked.has(runner.address)) continue;
-      linked.add(runner.address);
+      if (linkedAddresses.has(runner.address)) continue;
+      linkedAddresses.add(runner.address);
       lifeCycle.run("link to rank", async () => {
         await this.#serveRank(runner, signal);
-        linked.delete(runner.address);
+        linkedAddresses.delete(runner.address);
       });
     }
   }
@@ -213,7 +217,7 @@
     const { identity } = this.parameters;
     const lastKnowledge = this.parameters.knowledge();
     const fresh =
-      common.now() - this.#startedAt < KNOWLEDGE_MAX_AGE_MILLISECONDS;
+      common.now() - this.#startedAt < MAX_KNOWLEDGE_AGE_MILLISECONDS;
     if (lastKnowledge?.group === identity.group && fresh)
       return lastKnowledge.runners;
     const read = await this.parameters.runnerSource.next(0);
@@ -260,8 +264,8 @@
           this.#handleOf(runner, identity.rank).attach(link);
           this.#links.set(link, identity.rank);
           link.send(this.#heartbeatFor(identity.rank, this.#countPlan()));
-          const succeeds = this.#isLikelySuccessor(identity.rank);
-          if (this.#sharedKnowledge && succeeds)
+          const maySucceed = this.#isLikelySuccessor(identity.rank);
+          if (this.#sharedKnowledge && maySucceed)
             link.send(this.#sharedKnowledge);
           break;
         }
--- a/packages/daemon/src/rank_group/rank_member.ts
+++ b/packages/daemon/src/rank_group/rank_member.ts
@@ -183,8 +183,8 @@
     const base = this.mapOf(this.status?.mapVersion ?? 0);
     if (!base) return 0;
     return map.reduce((sum, ranks, layer) => {
-      const held = base[layer]?.[rank] ?? [];
-      const added = ranks[rank].filter((expert) => !held.includes(expert));
+      const loaded = base[layer]?.[rank] ?? [];
+      const added = ranks[rank].filter((expert) => !loaded.includes(expert));
       return sum + added.length;
     }, 0);
   }
--- a/packages/daemon/src/rank_group/rank_process.ts
+++ b/packages/daemon/src/rank_group/rank_process.ts
@@ -76,6 +76,7 @@
 interface Term {
   token: number;
   identity: wire.RankIdentity;
+  /** Aborts when the term ends. */
   ended: AbortController;
   links: rankLinks.RankLinks;
   leader: groupLeader.GroupLeader | undefined;
@@ -264,7 +265,7 @@
     try {
       await this.#runTerm(term, termSignal);
     } finally {
-      if (this.#term === term) this.#endTerm("over");
+      if (this.#term === term) this.#endTerm("the term is over");
     }
   }
 
@@ -321,7 +322,7 @@
         links.broadcast(notice);
       },
       holdNotices: () => this.#follower.holdNoticesOf(epoch),
-      rememberedMap: (version) => this.#member.mapOf(version),
+      cachedMap: (version) => this.#member.mapOf(version),
       logger,
     });
     await term.leader.lead(signal);
--- a/packages/daemon/src/rank_group/read_group_model.ts
+++ b/packages/daemon/src/rank_group/read_group_model.ts
@@ -7,8 +7,8 @@
 
 /**
  * Reads the shape of a group's engines and the longest pause of its streams
- * from the configuration. Retries until both are available; `undefined` if the
- * signal aborts first.
+ * from the configuration. Retries until the configuration describes the
+ * engines; `undefined` if the signal aborts first.
  */
 export async function readGroupModel(parameters: {
   configurationSource: traffic.DocumentSource<traffic.TrafficConfiguration>;
--- a/packages/daemon/src/rank_group/reading_plan_test.ts
+++ b/packages/daemon/src/rank_group/reading_plan_test.ts
@@ -21,7 +21,7 @@
 }
 
 /** How often the state is read in a second. */
-function readingsASecond(
+function readingsPerSecond(
   stateAt: (now: number) => readingPlan.ReadingState,
 ): number {
   let readAt = NOW;
@@ -39,7 +39,7 @@
 test("a rank without requests is read twice a second, whatever map it has", (t) => {
   for (const mapVersion of [0, 7]) {
     const status = rankFixture.createStatus({ active: 0, mapVersion });
-    const readings = readingsASecond((now) => stateOf({ status, now }));
+    const readings = readingsPerSecond((now) => stateOf({ status, now }));
     t.true(readings <= 2, `${readings}`);
   }
 });
--- a/packages/daemon/src/rank_group/recover_switch.ts
+++ b/packages/daemon/src/rank_group/recover_switch.ts
@@ -2,16 +2,13 @@
 import type * as rankHandle from "./rank_handle.ts";
 import * as orderUntilFinal from "./order_until_final.ts";
 
-/**
- * Outcome of an attempt to recover a switch that an earlier leader left
- * unfinished.
- */
+/** Outcome of recovering a switch that an earlier leader left unfinished. */
 export enum SwitchRecoveryKind {
   /** No rank holds an iteration, so there is nothing to recover. */
   Nothing = "nothing",
   /**
    * All ranks were armed for the same switch: the iteration was released, and
-   * all use the new map from it on.
+   * all use the new map from the armed iteration on.
    */
   RolledForward = "forward",
   /**
@@ -52,6 +49,7 @@
 /** What the recovery of a switch needs. */
 export interface RecoverSwitchParameters {
   handles: readonly rankHandle.RankHandle[];
+  /** Whether this process still leads this group epoch. */
   valid: () => boolean;
   pause: rankHandle.Pause;
   /**
@@ -59,6 +57,7 @@
    * current group epoch.
    */
   holdNotices: readonly wire.HoldNotice[];
+  /** Creates the fallback map; `undefined` if no map is known. */
   fallback: () => Promise<FallbackMap | undefined>;
 }
 
@@ -78,7 +77,7 @@
  *   disarmed. If that first rank was armed in the meantime, its engine refuses
  *   the order, and nothing has changed.
  * - A recovery arms no rank. So if the one rank that cannot be reached is the
- *   rank beside the leader that held the iteration, it is known not to be armed
+ *   rank beside the leader that ordered the hold, it is known not to be armed
  *   while any other rank is not: a leader arms its own rank after all others.
  */
 export async function recoverSwitch(
@@ -198,8 +197,8 @@
 }
 
 /**
- * Whether the leader that held the iteration arms this rank after all others,
- * which is so for its own rank. False if ranks hold several iterations.
+ * Whether the leader that ordered the hold arms this rank after all others,
+ * because it is its own rank. False if several ranks hold an iteration.
  */
 function isArmedLast(
   handle: rankHandle.RankHandle,
--- a/packages/daemon/src/rank_group/switch_group.ts
+++ b/packages/daemon/src/rank_group/switch_group.ts
@@ -79,11 +79,11 @@
 }
 
 /**
- * Switches all ranks of a group to a new map at one iteration. An armed rank
- * uses the new map from that iteration on, whatever the others do. So one rank
- * holds the iteration before the first rank is armed, and releases it after the
- * last one is. All engines wait for the slowest in each iteration, so one rank
- * that holds an iteration stops the group.
+ * Switches all ranks of a group to a new map in the same iteration. An armed
+ * rank uses the new map from that iteration on, whatever the others do. So one
+ * rank holds the iteration before the first rank is armed, and releases it
+ * after the last one is. All engines wait for the slowest in each iteration, so
+ * one rank that holds an iteration stops the group.
  *
  * The leader's host may freeze at any moment, and its engine is then out of
  * reach. Therefore a rank on another host holds the iteration, and the leader's
@@ -187,9 +187,9 @@
 /**
  * The ranks, grouped in the order in which they are armed. The holder is armed
  * last but one: if the leader freezes while its orders to the other ranks are
- * in transit, the holder is not yet armed, and a successor can roll back. A
- * freeze that cannot be rolled back must fall into the few milliseconds between
- * the order to the holder and the release.
+ * in transit, the holder is not yet armed, and a successor can roll back. Only
+ * in the few milliseconds between the order to the holder and the release would
+ * a freeze leave a switch that no successor can roll back.
  */
 function armingStages({
   handles,
@@ -204,10 +204,10 @@
 
 /**
  * Holds the first iteration that has certainly not begun. Returns its number,
- * or the reply of the holder if it refused or did not answer. The leader orders
- * the holder's engine directly, not through the process beside it: if that host
- * freezes right after it passed an order on, it is not the host that the group
- * waits for.
+ * or the reply of the holder if it refused or did not answer. The leader's host
+ * sends the order to the holder's engine itself, not through the process beside
+ * the holder. A host may freeze right after it sent the order; this way it is
+ * not the host that the group waits for.
  */
 async function holdAhead(
   parameters: GroupSwitchParameters,
--- a/packages/stand_ins/src/measure/group_world/order_bytes.ts
+++ b/packages/stand_ins/src/measure/group_world/order_bytes.ts
@@ -11,8 +11,8 @@
   ranks: number,
 ): number {
   const exchanges = mapDifference.differenceOf(
-    mapDifference.mapOf(base, ranks),
-    mapDifference.mapOf(next, ranks),
+    mapDifference.expertsOfRanks(base, ranks),
+    mapDifference.expertsOfRanks(next, ranks),
   );
   const frame = wire.encode({
     kind: wire.MessageKind.RankCommand,
