--- a/packages/stand_ins/src/measure/capacity_gateway.ts
+++ b/packages/stand_ins/src/measure/capacity_gateway.ts
@@ -5,7 +5,7 @@
 
 /** Beats of an entry to each other one, a second (`mesh/entry_mesh.ts`). */
 const BEATS_PER_SECOND = 1_000 / 300;
-/** States of a rank told to its leader while nothing changes (`beat_record.ts`). */
+/** States of a rank told to its leader while nothing changes (`heartbeat_record.ts`). */
 const STATES_PER_SECOND = 4;
 /** Bytes that a message takes on the wire beside its own: frame, TCP and IP. */
 const FRAME_BYTES = 46;
