--- a/packages/daemon/src/rank_group/count_plan.ts
+++ b/packages/daemon/src/rank_group/count_plan.ts
@@ -1,50 +1,65 @@
 /**
- * Part of the leader's link that counts may fill. With more, states and answers to
- * orders wait behind them, and the group keeps a map that no longer fits.
+ * Share of the leader's network link that counts may use. With a larger share,
+ * states and answers to orders wait behind them, and the group keeps a map that
+ * no longer fits demand.
  */
-const LINK_SHARE = 0.35;
-/** Mean bytes of a count on the wire: small numbers take one, others two and more. */
-const BYTES_PER_NUMBER = 1.7;
-/** How often a rank tells what its requests choose, where all may, in milliseconds. */
-export const COUNT_MILLISECONDS = 100;
+const MAX_LINK_SHARE = 0.35;
 /**
- * Ranks that tell where not all may: together they run requests enough for a shift to
- * show above chance, and any rank runs any kind of request.
+ * Mean size of a count on the wire: small numbers take one byte, larger ones
+ * two or more.
  */
-const FEW_TELLERS = 8;
+const BYTES_PER_COUNT = 1.7;
+/** How often a rank reports its activations where all ranks may report. */
+export const COUNT_PERIOD_MILLISECONDS = 100;
+/**
+ * How many ranks report where not all may. Together they run enough requests to
+ * tell a shift of demand from chance, and any rank runs any kind of request.
+ */
+const MAX_REPORTERS_IN_LARGE_GROUP = 8;
 
-/** Which ranks tell what their requests choose, and how often. */
+/** Which ranks report their activations to the leader, and how often. */
 export interface CountPlan {
-  tellers: ReadonlySet<number>;
+  reporters: ReadonlySet<number>;
   periodMilliseconds: number;
 }
 
-/** For groups of any size: as many tellers as the leader's link and processor carry. */
+/**
+ * Plans the reports for groups of any size: as many reporting ranks as the
+ * leader's link and processor can handle.
+ */
 export function planCounts(parameters: {
-  /** Ranks that can be asked, in order. */
-  linked: readonly number[];
-  /** Experts over all layers; 0 while the engines are not known. */
-  numbersPerReading: number;
-  /** What the link of the leader's host carries. */
+  /** Ranks that can report, in rising order. */
+  linkedRanks: readonly number[];
+  /**
+   * How many counts one reading has: the experts over all layers. 0 while the
+   * model is unknown.
+   */
+  countsPerReading: number;
+  /** Bytes per second that the network link of the leader's host carries. */
   linkBytesPerSecond: number;
 }): CountPlan {
-  const { linked, numbersPerReading, linkBytesPerSecond } = parameters;
-  // A leader that does not know the engines can plan nothing by counts. Told by all
-  // ranks of a busy group they fill its link, and what it reads to know the engines
-  // never arrives: the group keeps its first map, and all streams are late.
-  if (numbersPerReading <= 0) {
-    return { tellers: new Set(), periodMilliseconds: COUNT_MILLISECONDS };
+  const { linkedRanks, countsPerReading, linkBytesPerSecond } = parameters;
+  // A leader that does not know the model of its group cannot plan by counts.
+  // If all ranks of a busy group sent them nevertheless, they would fill the
+  // leader's link, and the model, which the leader reads over the same link,
+  // would never arrive. The group would keep its first map, and all streams
+  // would be late.
+  if (countsPerReading <= 0) {
+    return {
+      reporters: new Set(),
+      periodMilliseconds: COUNT_PERIOD_MILLISECONDS,
+    };
   }
-  const readingBytes = numbersPerReading * BYTES_PER_NUMBER;
-  const most = linkBytesPerSecond * LINK_SHARE;
-  const perSecond = (ranks: number) =>
-    (ranks * readingBytes * 1_000) / COUNT_MILLISECONDS;
-  if (perSecond(linked.length) <= most) {
-    const tellers = new Set(linked);
-    return { tellers, periodMilliseconds: COUNT_MILLISECONDS };
+  const readingBytes = countsPerReading * BYTES_PER_COUNT;
+  const maxBytesPerSecond = linkBytesPerSecond * MAX_LINK_SHARE;
+  const bytesPerSecond = (ranks: number) =>
+    (ranks * readingBytes * 1_000) / COUNT_PERIOD_MILLISECONDS;
+  if (bytesPerSecond(linkedRanks.length) <= maxBytesPerSecond) {
+    const reporters = new Set(linkedRanks);
+    return { reporters, periodMilliseconds: COUNT_PERIOD_MILLISECONDS };
   }
-  const tellers = new Set(linked.slice(0, FEW_TELLERS));
-  const excess = perSecond(tellers.size) / most;
-  const periodMilliseconds = COUNT_MILLISECONDS * Math.max(1, excess);
-  return { tellers, periodMilliseconds: Math.round(periodMilliseconds) };
+  const reporters = new Set(linkedRanks.slice(0, MAX_REPORTERS_IN_LARGE_GROUP));
+  const excess = bytesPerSecond(reporters.size) / maxBytesPerSecond;
+  const periodMilliseconds = COUNT_PERIOD_MILLISECONDS * Math.max(1, excess);
+  return { reporters, periodMilliseconds: Math.round(periodMilliseconds) };
 }
--- a/packages/daemon/src/rank_group/group_leader.ts
+++ b/packages/daemon/src/rank_group/group_leader.ts
@@ -3,54 +3,81 @@
 import type * as wire from "@geraniumkeel/wire";
 import * as planPlacement from "../placement/plan_placement.ts";
 import * as demandModule from "./demand.ts";
-import type * as rankPort from "./rank_port.ts";
-import * as insistOrder from "./insist_order.ts";
-import * as leadSteps from "./lead_steps.ts";
+import type * as linkedRank from "./linked_rank.ts";
+import * as orderUntilFinal from "./order_until_final.ts";
+import * as iterationsAhead from "./iterations_ahead.ts";
 import * as mapDifference from "./map_difference.ts";
 import * as mapPlanner from "./map_planner.ts";
-import * as settleGroup from "./settle_group.ts";
+import * as recoverSwitch from "./recover_switch.ts";
 import * as switchGroup from "./switch_group.ts";
 
-/** How often it is looked whether demand has shifted, in milliseconds. */
-const LOOK_MILLISECONDS = 50;
-/** Versions of maps are times, so that no two leaders use one for two maps. */
+/** Interval at which the leader checks its ranks, and demand for a shift. */
+const POLL_MILLISECONDS = 50;
+/**
+ * Versions are derived from the time in milliseconds, and each rank uses its
+ * own remainder modulo 64. So two leaders never use the same version for two
+ * maps.
+ */
 const VERSIONS_PER_MILLISECOND = 64;
 
 /** What leading a group needs. */
 export interface GroupLeaderParameters {
   identity: wire.RankIdentity;
-  ports: rankPort.LinkedRank[];
-  own: rankPort.LinkedRank;
+  handles: linkedRank.LinkedRank[];
+  own: linkedRank.LinkedRank;
   shape: traffic.EngineShape;
-  /** Longest pause between two events that is in time; 0 if none is told. */
+  /**
+   * Longest pause between two events of a stream that still counts as on time,
+   * in milliseconds; 0 if no route sets one.
+   */
   gapMilliseconds: number;
-  /** Demand as this process saw it; it may know it from a term before. */
+  /**
+   * Demand as this process counted it; may include counts of an earlier term.
+   */
   demand: demandModule.Demand;
-  /** Whether this process still leads this forming of the group. */
+  /** Whether this process still leads this group epoch. */
   valid: () => boolean;
   onSuperseded: (detail: string) => void;
-  /** Tells all ranks what is about to be held, and where. */
+  /**
+   * Notifies all ranks which iteration is about to be held, and by which rank.
+   */
   announceHold: (holder: number, step: number) => void;
-  /** Holds of this forming of the group that this process was told of. */
-  announced: () => readonly wire.HoldNotice[];
-  /** A map of an earlier order, if this process remembers it. */
-  rememberedMap: (version: number) => wire.RankMap | undefined;
+  /**
+   * The announcements of held iterations that this process received in this
+   * group epoch.
+   */
+  holdNotices: () => readonly wire.HoldNotice[];
+  /**
+   * The map of a version that this process prepared earlier; `undefined` if it
+   * is no longer cached.
+   */
+  cachedMap: (version: number) => wire.RankMap | undefined;
   logger: common.Logger;
 }
 
-/** Keeps the map of one group close to demand, while its process leads it. */
+/**
+ * Leads one group during a term: switches it to a new map whenever demand has
+ * moved away from the map in force, and recovers switches that an earlier
+ * leader left unfinished.
+ */
 export class GroupLeader {
-  /** Map in force, and its version. */
+  /**
+   * The map in force and its version, as far as this leader knows them; version
+   * -1 if it has to read them from the ranks.
+   */
   #map: wire.RankMap | undefined;
   #mapVersion = -1;
   #lastVersion = 0;
   #switching = false;
   readonly #planner: mapPlanner.MapPlanner;
-  readonly #lead = new leadSteps.LeadSteps();
-  /** When it was last looked for a shift of demand. */
-  #lookedAt = -Infinity;
-  /** How settling ended last; waiting for a rank is told once. */
-  #lastSettlement = "";
+  readonly #iterationsAhead = new iterationsAhead.IterationsAhead();
+  /** Time of the last check whether demand has shifted. */
+  #shiftCheckedAt = -Infinity;
+  /**
+   * Kind and detail of the last recovery. A recovery that repeats, such as one
+   * that waits for a rank, is logged once.
+   */
+  #lastRecovery = "";
 
   constructor(readonly parameters: GroupLeaderParameters) {
     const { identity, shape, gapMilliseconds, demand } = parameters;
@@ -62,57 +89,60 @@
     });
   }
 
-  /** Whether a switch is under way. */
+  /** Whether a switch is in progress. */
   get switching(): boolean {
     return this.#switching;
   }
 
-  /** Takes what a rank counted, layer after layer. */
-  count(rank: number, chosen: number[]): void {
+  /** Adds the activations that a rank counted, layer after layer. */
+  addCounts(rank: number, chosen: number[]): void {
     this.parameters.demand.add(rank, chosen, common.now());
   }
 
-  /** Leads until it is no longer valid. */
+  /** Leads until this process no longer leads the group epoch. */
   async lead(signal: AbortSignal): Promise<void> {
-    const { valid, ports } = this.parameters;
+    const { valid, handles } = this.parameters;
     while (!signal.aborted && valid()) {
-      this.#notePass();
-      const heard = ports.every((port) => port.fresh);
-      if (settleGroup.isHeld(ports)) await this.#settle();
-      else if (heard) await this.#improve();
-      else await this.#refreshSilent();
-      await common.sleep(LOOK_MILLISECONDS, signal);
+      this.#noteIteration();
+      const allFresh = handles.every((handle) => handle.fresh);
+      if (recoverSwitch.isAnyHeld(handles)) await this.#recoverSwitch();
+      else if (allFresh) await this.#improveMap();
+      else await this.#refreshOutdated();
+      await common.sleep(POLL_MILLISECONDS, signal);
     }
   }
 
-  /** Reads ranks whose process says nothing from their engines. */
-  async #refreshSilent(): Promise<void> {
-    const silent = this.parameters.ports.filter((port) => !port.fresh);
-    await Promise.all(silent.map((port) => port.refresh()));
+  /**
+   * Reads the state of ranks directly from their engines if the processes
+   * beside them have sent none recently.
+   */
+  async #refreshOutdated(): Promise<void> {
+    const outdated = this.parameters.handles.filter((handle) => !handle.fresh);
+    await Promise.all(outdated.map((handle) => handle.refresh()));
   }
 
-  async #settle(): Promise<void> {
-    const { ports, valid, logger, identity, announced } = this.parameters;
-    const { kind, detail } = await settleGroup.settleGroup({
-      ports,
+  async #recoverSwitch(): Promise<void> {
+    const { handles, valid, logger, identity, holdNotices } = this.parameters;
+    const { kind, detail } = await recoverSwitch.recoverSwitch({
+      handles,
       valid,
-      pause: insistOrder.shortPause,
-      announced: announced(),
-      spare: () => this.#spareMap(),
+      pause: orderUntilFinal.shortPause,
+      holdNotices: holdNotices(),
+      fallback: () => this.#fallbackMap(),
     });
     this.#mapVersion = -1;
     const outcome = `${kind} ${detail}`;
-    const told = outcome === this.#lastSettlement;
-    this.#lastSettlement = outcome;
-    if (told || kind === settleGroup.SettlementKind.Nothing) return;
+    const isLogged = outcome === this.#lastRecovery;
+    this.#lastRecovery = outcome;
+    if (isLogged || kind === recoverSwitch.SwitchRecoveryKind.Nothing) return;
     const { group, epoch } = identity;
     const code = common.EventCode.MapSwitchRecovered;
     logger.event(code, { group, epoch, kind, detail });
   }
 
   /** The map in force, or else the last one prepared, under a new version. */
-  async #spareMap(): Promise<settleGroup.SpareMap | undefined> {
-    const { own, rememberedMap } = this.parameters;
+  async #fallbackMap(): Promise<recoverSwitch.FallbackMap | undefined> {
+    const { own, cachedMap: rememberedMap } = this.parameters;
     const { mapVersion = 0, preparedVersion = 0 } = own.status ?? {};
     const map =
       rememberedMap(mapVersion) ??
@@ -121,26 +151,30 @@
     return map && { version: this.#nextVersion(), map };
   }
 
-  async #improve(): Promise<void> {
-    const { ports, shape, identity } = this.parameters;
-    const armed = ports.some(({ status }) => (status?.armedVersion ?? 0) > 0);
+  /** Plans a new map if it is time to, and switches to it if it pays. */
+  async #improveMap(): Promise<void> {
+    const { handles, shape, identity } = this.parameters;
+    const armed = handles.some(({ status }) => (status?.armedVersion ?? 0) > 0);
     if (armed || !this.#planner.isDue(common.now())) return;
     const map = await this.#currentMap();
     if (!map) return;
     const startedAt = common.now();
     const planned = this.#planner.plan(
       startedAt,
-      ports.flatMap(({ status }) => (status ? [status] : [])),
-      mapDifference.placesOf(map, shape.expertsPerLayer),
+      handles.flatMap(({ status }) => (status ? [status] : [])),
+      mapDifference.ranksOfExperts(map, shape.expertsPerLayer),
     );
     if (!planned) return;
     const planMilliseconds = common.now() - startedAt;
     const { distance, shifts } = this.parameters.demand;
     const before = { distance, shifts, planMilliseconds };
     const version = this.#nextVersion();
-    const next = mapDifference.mapOf(planned.plan.places, identity.size);
+    const next = mapDifference.expertsOfRanks(
+      planned.plan.places,
+      identity.size,
+    );
     const outcome = await this.#switchTo(next, version, map);
-    this.#log(version, planned, before, outcome);
+    this.#logSwitch(version, planned, before, outcome);
     switch (outcome.kind) {
       case switchGroup.GroupSwitchKind.Done:
         this.#map = next;
@@ -161,35 +195,36 @@
     version: number,
     map: wire.RankMap,
   ): Promise<switchGroup.GroupSwitchOutcome> {
-    const { ports, own, shape, valid, demand, announceHold } = this.parameters;
+    const { handles, own, shape, valid, demand, announceHold } =
+      this.parameters;
     const { shifts } = demand;
     const holder = this.#chooseHolder();
     this.#switching = true;
     const outcome = await switchGroup.switchGroup({
-      ports,
+      handles,
       own,
       holder,
       version,
       map: next,
       base: { version: this.#mapVersion, map },
       copyMilliseconds: shape.copyMilliseconds,
-      leadSteps: () => this.#leadStepsNow(),
+      iterationsAhead: () => this.#iterationsAheadNow(),
       valid,
       outdated: () => this.#hasShiftedSince(shifts),
       announceHold: (step) => announceHold(holder.rank, step),
-      pause: insistOrder.shortPause,
+      pause: orderUntilFinal.shortPause,
     });
     this.#switching = false;
     if (own.status?.mapVersion === version) {
-      for (const port of ports) port.noteSwitched(version);
+      for (const handle of handles) handle.noteSwitched(version);
     }
     if (outcome.armMilliseconds > 0) {
-      this.#lead.noteArming(outcome.armMilliseconds);
+      this.#iterationsAhead.noteArming(outcome.armMilliseconds);
     }
     return outcome;
   }
 
-  #log(
+  #logSwitch(
     version: number,
     { plan, strain }: mapPlanner.PlannedMap,
     before: { distance: number; shifts: number; planMilliseconds: number },
@@ -219,73 +254,89 @@
     });
   }
 
-  #notePass(): void {
+  #noteIteration(): void {
     const { step = 0 } = this.parameters.own.status ?? {};
-    this.#lead.noteStep(step, common.now());
+    this.#iterationsAhead.noteIteration(step, common.now());
   }
 
-  /** While a map was loaded passes have become longer, or shorter. */
-  #leadStepsNow(): number {
-    this.#notePass();
-    return this.#lead.steps;
+  /**
+   * How many iterations ahead to switch. Measures the current iteration first,
+   * because its length may have changed while the ranks loaded the map.
+   */
+  #iterationsAheadNow(): number {
+    this.#noteIteration();
+    return this.#iterationsAhead.count;
   }
 
-  /** Whether demand has shifted once more since so many shifts were seen. */
+  /** Whether demand has shifted again since the given number of shifts. */
   #hasShiftedSince(shifts: number): boolean {
     const { demand } = this.parameters;
     const now = common.now();
-    if (now - this.#lookedAt >= LOOK_MILLISECONDS) {
-      this.#lookedAt = now;
-      demand.noticeShift(now);
+    if (now - this.#shiftCheckedAt >= POLL_MILLISECONDS) {
+      this.#shiftCheckedAt = now;
+      demand.detectShift(now);
     }
     return demand.shifts !== shifts;
   }
 
-  /** The map in force, read from the ranks unless this leader made it. */
+  /**
+   * The map in force. Reads it from the ranks unless this leader switched to
+   * it. `undefined` if the ranks do not agree on one, or one of them does not
+   * answer.
+   */
   async #currentMap(): Promise<wire.RankMap | undefined> {
-    const { ports } = this.parameters;
-    const versions = ports.map(({ status }) => status?.mapVersion);
+    const { handles } = this.parameters;
+    const versions = handles.map(({ status }) => status?.mapVersion);
     if (versions.some((version) => version !== versions[0])) return undefined;
     if (this.#mapVersion === versions[0]) return this.#map;
-    const lists = await Promise.all(ports.map((port) => port.lists()));
-    const same = lists.every((one) => one?.version === versions[0]);
-    if (!same) return undefined;
-    const layers = lists[0]?.experts.length ?? 0;
+    const rankLists = await Promise.all(
+      handles.map((handle) => handle.lists()),
+    );
+    const sameVersion = rankLists.every(
+      (list) => list?.version === versions[0],
+    );
+    if (!sameVersion) return undefined;
+    const layers = rankLists[0]?.experts.length ?? 0;
     this.#map = Array.from({ length: layers }, (_, layer) =>
-      lists.map((one) => one?.experts[layer] ?? []),
+      rankLists.map((list) => list?.experts[layer] ?? []),
     );
     this.#mapVersion = versions[0] ?? -1;
     return this.#map;
   }
 
   /**
-   * The rank at which passes are held: one whose process is there, as it releases
-   * the pass for nothing, and takes over at once if this host freezes meanwhile.
+   * The rank that holds the iteration of a switch: if possible one whose
+   * process is linked. That process releases the iteration at no cost, and it
+   * takes over at once if this host freezes during the switch.
    */
-  #chooseHolder(): rankPort.LinkedRank {
-    const { ports, own } = this.parameters;
-    const place = ports.indexOf(own);
-    const others = [...ports.slice(place + 1), ...ports.slice(0, place)];
-    return others.find((port) => port.linked) ?? others.at(0) ?? own;
+  #chooseHolder(): linkedRank.LinkedRank {
+    const { handles, own } = this.parameters;
+    const ownIndex = handles.indexOf(own);
+    const others = [
+      ...handles.slice(ownIndex + 1),
+      ...handles.slice(0, ownIndex),
+    ];
+    return others.find((handle) => handle.linked) ?? others.at(0) ?? own;
   }
 
   /**
-   * A version higher than all that any rank has had, and used by nobody else. Two
-   * leaders that both took the next number would each find the other's map prepared
-   * and take it for their own: ranks would switch to two maps of one version.
+   * A version that is higher than any that a rank has had and that no other
+   * process uses. If two leaders both used the next number, each would find the
+   * other's map prepared and take it for its own; the ranks would then switch
+   * to two different maps of one version.
    */
   #nextVersion(): number {
-    const { ports, identity } = this.parameters;
-    const seen = ports.flatMap(({ status }) =>
+    const { handles, identity } = this.parameters;
+    const seenVersions = handles.flatMap(({ status }) =>
       status ? [status.mapVersion, status.preparedVersion] : [],
     );
-    const least = Math.max(this.#lastVersion, ...seen) + 1;
+    const minVersion = Math.max(this.#lastVersion, ...seenVersions) + 1;
     const ofNow = Math.floor(Date.now()) * VERSIONS_PER_MILLISECOND;
-    const from = Math.max(least, ofNow);
-    const offset = identity.rank - (from % VERSIONS_PER_MILLISECOND);
-    const aligned = from + offset;
+    const lowest = Math.max(minVersion, ofNow);
+    const offset = identity.rank - (lowest % VERSIONS_PER_MILLISECOND);
+    const aligned = lowest + offset;
     this.#lastVersion =
-      aligned < from ? aligned + VERSIONS_PER_MILLISECOND : aligned;
+      aligned < lowest ? aligned + VERSIONS_PER_MILLISECOND : aligned;
     return this.#lastVersion;
   }
 }
--- a/packages/daemon/src/rank_group/leader_follower.ts
+++ b/packages/daemon/src/rank_group/leader_follower.ts
@@ -1,57 +1,73 @@
 import * as common from "@geraniumkeel/common";
 import * as wire from "@geraniumkeel/wire";
-import * as beatRecord from "./beat_record.ts";
+import * as heartbeatRecord from "./heartbeat_record.ts";
 import * as mapDifference from "./map_difference.ts";
 import type * as rankEngine from "./rank_engine.ts";
 import type * as rankMember from "./rank_member.ts";
 
-/** Announced holds that are remembered: those of several switches. */
-const KEPT_NOTICES = 16;
+/**
+ * How many announcements of held iterations the process retains, which covers
+ * several switches.
+ */
+const MAX_HOLD_NOTICES = 16;
 
 /** What following a leader needs. */
 export interface LeaderFollowerParameters {
   host: string;
   engine: rankEngine.RankEngine;
   member: rankMember.RankMember;
-  /** Token of the own leadership; -1 if this process does not lead. */
+  /** Fencing token of this process as leader; -1 if it does not lead. */
   ownToken: () => number;
-  /** Another process leads by a higher token than the own. */
+  /**
+   * Called when another process leads with a higher fencing token than this
+   * one.
+   */
   onNewerLeader: () => void;
 }
 
 /**
- * What the process beside a rank does for the leader of its group, and what it keeps
- * of it for the moment in which it has to take over.
+ * The follower's side of the process beside a rank: carries out the leader's
+ * commands, reports the state of the engine, and retains what this process
+ * needs if it has to take over the lead.
  */
 export class LeaderFollower {
-  /** When a leader was last heard. */
-  heardAt = common.now();
   /**
-   * What the last leader knew. A leader that dies may leave a pass held; were its
-   * successor to ask the store first, the group would stand still for as long as
-   * the store is away.
+   * When the latest heartbeat of a leader arrived. `RankProcess` also sets it:
+   * to now while it does not wait for a leader, to `-Infinity` to lead at once.
+   */
+  lastHeartbeatAt = common.now();
+  /**
+   * What the last leader knew of the group. A leader that crashes may leave an
+   * iteration held. If its successor had to read the store first, the group
+   * would stand still for the time that the store is unavailable.
    */
   knowledge: wire.GroupKnowledge | undefined;
+  /**
+   * Link to the leader that this process follows; `undefined` if it follows
+   * none.
+   */
   #link: wire.Link | undefined;
-  readonly #told = new beatRecord.BeatRecord();
-  /** Holds that leaders announced in this forming of the group, newest last. */
-  #announced: wire.HoldNotice[] = [];
+  readonly #heartbeatRecord = new heartbeatRecord.HeartbeatRecord();
+  /**
+   * Announcements of held iterations in the current group epoch, newest last.
+   */
+  #holdNotices: wire.HoldNotice[] = [];
 
   constructor(readonly parameters: LeaderFollowerParameters) {}
 
-  /** Whether a leader has been followed since `forget`. */
+  /** Whether this process has followed a leader since `stopFollowing`. */
   get follows(): boolean {
     return this.#link !== undefined;
   }
 
-  /** Follows nobody, as this process leads. */
-  forget(): void {
+  /** Forgets the leader, because this process leads. */
+  stopFollowing(): void {
     this.#link = undefined;
   }
 
-  /** Holds of one forming of the group that were announced. */
-  announcedIn(epoch: number): wire.HoldNotice[] {
-    return this.#announced.filter((known) => known.epoch === epoch);
+  /** The announcements of held iterations in a group epoch. */
+  holdNoticesOf(epoch: number): wire.HoldNotice[] {
+    return this.#holdNotices.filter((notice) => notice.epoch === epoch);
   }
 
   /** The first message on each link. */
@@ -61,7 +77,10 @@
     return { kind: wire.MessageKind.RankHello, host, identity, token };
   }
 
-  /** Serves the leader, or another process, at the far end of a link. */
+  /**
+   * Answers the process at the far end of a link, which may be the leader,
+   * until the link closes.
+   */
   async serve(link: wire.Link, signal: AbortSignal): Promise<void> {
     link.closeOn(signal);
     link.send(this.hello());
@@ -69,20 +88,20 @@
       switch (message.kind) {
         case wire.MessageKind.RankHello:
           break;
-        case wire.MessageKind.LeaderBeat:
-          this.#follow(link, message);
+        case wire.MessageKind.LeaderHeartbeat:
+          this.#acceptHeartbeat(link, message);
           break;
         case wire.MessageKind.RankCommand:
-          void this.#obey(link, message);
+          void this.#executeCommand(link, message);
           break;
         case wire.MessageKind.RankListsRequest:
-          void this.#tellLists(link, message.question);
+          void this.#sendLists(link, message.question);
           break;
         case wire.MessageKind.GroupKnowledge:
           this.knowledge = message;
           break;
         case wire.MessageKind.HoldNotice:
-          this.noteHold(message);
+          this.recordHoldNotice(message);
           break;
         default:
           link.close(wire.LinkEnd.Unreadable);
@@ -90,74 +109,96 @@
     }
   }
 
-  /** Tells the leader what the engine was read to say, if it is news. */
-  tell(): void {
+  /**
+   * Sends the leader a heartbeat with the state of the engine and its new
+   * activations, if either is due.
+   */
+  report(): void {
     const { member } = this.parameters;
     const { identity, status, token } = member;
     const link = this.#link;
     if (!identity || !status || !link || link.end !== undefined) return;
-    const chosen = member.takeChosen();
-    const news = this.#told.take(status, common.now());
-    if (!news && chosen.length === 0) return;
-    const kind = wire.MessageKind.RankBeat;
+    const chosen = member.takeCounts();
+    const isDue = this.#heartbeatRecord.recordIfDue(status, common.now());
+    if (!isDue && chosen.length === 0) return;
+    const kind = wire.MessageKind.RankHeartbeat;
     link.send({ kind, token, identity, status, chosen });
   }
 
-  /** Notes which pass is about to be held, and where. */
-  noteHold(notice: wire.HoldNotice): void {
+  /**
+   * Records which iteration is about to be held, and by which rank. If it is
+   * this rank, the process reads its engine closely, so that the leader soon
+   * sees the hold.
+   */
+  recordHoldNotice(notice: wire.HoldNotice): void {
     const { member } = this.parameters;
-    const ofEpoch = this.announcedIn(notice.epoch);
-    this.#announced = [...ofEpoch, notice].slice(-KEPT_NOTICES);
-    if (notice.holder === member.identity?.rank) member.lookClosely();
+    const ofSameEpoch = this.holdNoticesOf(notice.epoch);
+    this.#holdNotices = [...ofSameEpoch, notice].slice(-MAX_HOLD_NOTICES);
+    if (notice.holder === member.identity?.rank) member.readClosely();
   }
 
-  #follow(link: wire.Link, beat: wire.LeaderBeat): void {
+  #acceptHeartbeat(link: wire.Link, heartbeat: wire.LeaderHeartbeat): void {
     const { member, ownToken, onNewerLeader } = this.parameters;
-    if (beat.group !== member.identity?.group) return;
+    if (heartbeat.group !== member.identity?.group) return;
     const own = ownToken();
-    // A leader is linked with itself too.
-    if (beat.token === own) return;
-    if (beat.token < Math.max(own, member.token)) {
-      // Tells an old leader, by the token, that there is a newer one.
+    // A leader also has a link to itself.
+    if (heartbeat.token === own) return;
+    if (heartbeat.token < Math.max(own, member.token)) {
+      // The fencing token in this message shows an old leader that there is a
+      // newer one.
       link.send(this.hello());
       return;
     }
     if (own >= 0) onNewerLeader();
-    member.heed(beat.token);
-    this.heardAt = common.now();
+    member.acceptToken(heartbeat.token);
+    this.lastHeartbeatAt = common.now();
     if (this.#link !== link) {
-      this.#told.forget();
-      // A new leader knows nothing of this rank, and a pass may be held.
-      member.lookClosely();
+      this.#heartbeatRecord.reset();
+      // A new leader has no state of this rank yet, and an iteration may be
+      // held.
+      member.readClosely();
     }
     this.#link = link;
-    member.countEvery(beat.countMilliseconds);
+    member.setCountPeriod(heartbeat.countMilliseconds);
   }
 
-  async #obey(link: wire.Link, command: wire.RankCommand): Promise<void> {
+  async #executeCommand(
+    link: wire.Link,
+    command: wire.RankCommand,
+  ): Promise<void> {
     const { member } = this.parameters;
     const { question, token, epoch } = command;
     const kind = wire.MessageKind.RankReply;
-    const order = this.#wholeOrder(command.order);
+    const order = this.#fullOrder(command.order);
     if (!order) {
       const end = wire.RankOrderEnd.BaseUnknown;
-      const { status, token: known } = member;
-      link.send({ kind, question, token: known, end, detail: "", status });
+      const { status, token: highestToken } = member;
+      link.send({
+        kind,
+        question,
+        token: highestToken,
+        end,
+        detail: "",
+        status,
+      });
       return;
     }
     const outcome = await member.execute({ token, epoch, order });
     link.send({ kind, question, token: member.token, ...outcome });
   }
 
-  /** An order as the engine takes it; `undefined` if its map cannot be made. */
-  #wholeOrder(order: wire.SentOrder): wire.RankOrder | undefined {
+  /**
+   * The order in the form that the engine accepts, with the full map.
+   * `undefined` if the map cannot be derived from the changes.
+   */
+  #fullOrder(order: wire.SentOrder): wire.RankOrder | undefined {
     if (order.kind !== wire.RankOrderKind.PrepareChanges) return order;
     const { version, base, exchanges, copyMilliseconds } = order;
-    const known = this.parameters.member.mapOf(base);
+    const baseMap = this.parameters.member.mapOf(base);
     const unpacked = wire.unpackDocument<wire.RankMapExchange[]>(exchanges);
-    // Sent whole, the map reaches this rank all the same.
-    if (!known || unpacked.isErr()) return undefined;
-    const map = mapDifference.withExchanges(known, unpacked.value);
+    // The leader then sends the full map.
+    if (!baseMap || unpacked.isErr()) return undefined;
+    const map = mapDifference.withExchanges(baseMap, unpacked.value);
     return {
       kind: wire.RankOrderKind.Prepare,
       version,
@@ -166,7 +207,7 @@
     };
   }
 
-  async #tellLists(link: wire.Link, question: number): Promise<void> {
+  async #sendLists(link: wire.Link, question: number): Promise<void> {
     const read = await this.parameters.engine.lists();
     const lists = read.isOk() ? read.value : undefined;
     link.send({ kind: wire.MessageKind.RankListsAnswer, question, lists });
--- /dev/null
+++ b/packages/daemon/src/rank_group/linked_rank.ts
@@ -0,0 +1,203 @@
+import * as common from "@geraniumkeel/common";
+import * as wire from "@geraniumkeel/wire";
+import * as executeOrder from "./execute_order.ts";
+import type * as rankEngine from "./rank_engine.ts";
+import type * as rankHandle from "./rank_handle.ts";
+
+/**
+ * Age up to which a rank's state counts as fresh. A leader reads an older one
+ * from the engine directly.
+ */
+const MAX_STATUS_AGE_MILLISECONDS = 900;
+/** How long the leader waits for an answer of the process beside a rank. */
+const ANSWER_TIMEOUT_MILLISECONDS = 400;
+
+/** Fencing token of a leader, and the group epoch in which it leads. */
+export interface Leadership {
+  token: number;
+  epoch: number;
+}
+
+/**
+ * A leader's handle on one rank of its group. Orders go through the process
+ * beside the rank, which costs nothing. While that process is away they go
+ * directly to the engine, so that a group in which an iteration is held never
+ * waits for the process to return.
+ */
+export class LinkedRank implements rankHandle.RankHandle {
+  #status: wire.RankStatus | undefined;
+  #statusAt = -Infinity;
+  /**
+   * The last switch that the rank is known to have made, with its group epoch.
+   */
+  #lastSwitch = { version: 0, epoch: -1 };
+  #link: wire.Link | undefined;
+  #question = 0;
+  readonly #pendingReplies = new Map<number, (reply: wire.RankReply) => void>();
+  readonly #pendingLists = new Map<
+    number,
+    (lists: wire.RankLists | undefined) => void
+  >();
+
+  constructor(
+    readonly rank: number,
+    readonly engine: rankEngine.RankEngine,
+    readonly leadership: () => Leadership,
+  ) {}
+
+  /** The latest state of the rank; `undefined` before the first. */
+  get status(): wire.RankStatus | undefined {
+    return this.#status;
+  }
+
+  /** Whether the state is recent enough to plan by. */
+  get fresh(): boolean {
+    return common.now() - this.#statusAt < MAX_STATUS_AGE_MILLISECONDS;
+  }
+
+  /** Whether the process beside the rank is linked. */
+  get linked(): boolean {
+    return this.#link !== undefined && this.#link.end === undefined;
+  }
+
+  /** Uses a link to the process beside the rank from now on. */
+  attach(link: wire.Link): void {
+    this.#link = link;
+  }
+
+  /** Records the rank's state. */
+  updateStatus(status: wire.RankStatus): void {
+    this.#status = this.#withLastSwitch(status);
+    this.#statusAt = common.now();
+  }
+
+  /**
+   * Records that the rank uses a map, because another rank that was armed for
+   * the same iteration does. The leader then need not wait until the rank's own
+   * process has read and reported that.
+   */
+  noteSwitched(version: number): void {
+    const { epoch = -1 } = this.#status ?? {};
+    this.#lastSwitch = { version, epoch };
+    if (this.#status) this.#status = this.#withLastSwitch(this.#status);
+  }
+
+  /** Corrects a state that was read before the last switch. */
+  #withLastSwitch(status: wire.RankStatus): wire.RankStatus {
+    const { version, epoch } = this.#lastSwitch;
+    const isPast = status.epoch === epoch && status.mapVersion < version;
+    if (!isPast) return status;
+    return { ...status, mapVersion: version, armedVersion: 0, armedStep: 0 };
+  }
+
+  /** Accepts an answer if it came on this rank's link. */
+  receive(
+    message: wire.RankReply | wire.RankListsAnswer,
+    link: wire.Link,
+  ): void {
+    if (link !== this.#link) return;
+    switch (message.kind) {
+      case wire.MessageKind.RankReply:
+        // The state is recorded here, in order of arrival. The caller that
+        // awaits the reply runs later and would overwrite the state of a newer
+        // heartbeat with this older one. The leader would then wait until the
+        // next heartbeat for a state that it already had.
+        if (message.status) this.updateStatus(message.status);
+        return this.#pendingReplies.get(message.question)?.(message);
+      case wire.MessageKind.RankListsAnswer:
+        return this.#pendingLists.get(message.question)?.(message.lists);
+    }
+  }
+
+  /** Reads the state from the engine directly. Returns whether it answered. */
+  async refresh(): Promise<boolean> {
+    const report = await this.engine.report();
+    if (report.isOk()) this.updateStatus(report.value.status);
+    return report.isOk();
+  }
+
+  /**
+   * The experts of the rank under the map in force; `undefined` if neither the
+   * process beside it nor its engine answers.
+   */
+  async lists(): Promise<wire.RankLists | undefined> {
+    const link = this.#link;
+    if (link && this.linked) {
+      const question = ++this.#question;
+      const answer = new Promise<wire.RankLists | undefined>((resolve) =>
+        this.#pendingLists.set(question, resolve),
+      );
+      link.send({ kind: wire.MessageKind.RankListsRequest, question });
+      const lists = await common.withTimeout(
+        answer,
+        ANSWER_TIMEOUT_MILLISECONDS,
+      );
+      this.#pendingLists.delete(question);
+      if (lists) return lists;
+    }
+    const read = await this.engine.lists();
+    return read.isOk() ? read.value : undefined;
+  }
+
+  /** Has the rank carry out an order, and returns the outcome. */
+  async order(order: wire.RankOrder): Promise<wire.RankReply> {
+    const link = this.#link;
+    const reply =
+      link && this.linked
+        ? await this.#sendPreferringChanges(link, order)
+        : undefined;
+    return reply ?? this.orderDirectly(order);
+  }
+
+  /** Sends an order to the engine directly, and returns the outcome. */
+  async orderDirectly(order: wire.RankOrder): Promise<wire.RankReply> {
+    const leadership = this.leadership();
+    const outcome = await executeOrder.executeOrder({
+      engine: this.engine,
+      order,
+      ...leadership,
+    });
+    if (outcome.status) this.updateStatus(outcome.status);
+    const kind = wire.MessageKind.RankReply;
+    return { kind, question: 0, token: leadership.token, ...outcome };
+  }
+
+  /**
+   * Sends a map as changes if the rank has the base map in force, else in full.
+   * The full map, sent to each rank of a large group, fills a slow host's link,
+   * and the leader's heartbeats wait behind it.
+   */
+  async #sendPreferringChanges(
+    link: wire.Link,
+    order: wire.RankOrder,
+  ): Promise<wire.RankReply | undefined> {
+    if (order.kind !== wire.RankOrderKind.Prepare) {
+      return this.#send(link, order);
+    }
+    const { changes, ...fullOrder } = order;
+    const knowsBase = changes?.base === this.#status?.mapVersion;
+    const reply =
+      changes && knowsBase ? await this.#send(link, changes) : undefined;
+    const isFinal = reply && reply.end !== wire.RankOrderEnd.BaseUnknown;
+    return isFinal ? reply : this.#send(link, fullOrder);
+  }
+
+  /**
+   * Sends an order over a link. Returns `undefined` if no reply arrives in
+   * time.
+   */
+  async #send(
+    link: wire.Link,
+    order: wire.SentOrder,
+  ): Promise<wire.RankReply | undefined> {
+    const question = ++this.#question;
+    const answer = new Promise<wire.RankReply>((resolve) =>
+      this.#pendingReplies.set(question, resolve),
+    );
+    const kind = wire.MessageKind.RankCommand;
+    link.send({ kind, question, ...this.leadership(), order });
+    const reply = await common.withTimeout(answer, ANSWER_TIMEOUT_MILLISECONDS);
+    this.#pendingReplies.delete(question);
+    return reply;
+  }
+}
--- a/packages/daemon/src/rank_group/map_difference.ts
+++ b/packages/daemon/src/rank_group/map_difference.ts
@@ -1,6 +1,6 @@
 import type * as wire from "@geraniumkeel/wire";
 
-/** What ranks give up and take in from one map to the next. */
+/** The experts that each rank removes and adds from one map to the next. */
 export function differenceOf(
   base: wire.RankMap,
   next: wire.RankMap,
@@ -10,16 +10,16 @@
       const before = base[layer]?.[rank] ?? [];
       const removed = before.filter((expert) => !experts.includes(expert));
       const added = experts.filter((expert) => !before.includes(expert));
-      const same = removed.length + added.length === 0;
-      return same ? [] : [[layer, rank, removed, added]];
+      const isUnchanged = removed.length + added.length === 0;
+      return isUnchanged ? [] : [[layer, rank, removed, added]];
     }),
   );
 }
 
 /**
- * A map after some exchanges. Experts of all ranks are in rising order, as they are in
- * a map that is sent whole: engines may compare lists, and ranks told in different
- * ways must have the same.
+ * Applies exchanges to a map. The experts of every rank are in rising order, as
+ * in a map that is sent in full: engines may compare the lists, and all ranks
+ * must get the same map in whichever form it was sent.
  */
 export function withExchanges(
   base: wire.RankMap,
@@ -27,23 +27,25 @@
 ): wire.RankMap {
   const next = base.map((ranks) => ranks.map((experts) => [...experts]));
   for (const [layer, rank, removed, added] of exchanges) {
-    const kept = next[layer][rank].filter((one) => !removed.includes(one));
-    next[layer][rank] = [...kept, ...added];
+    const retained = next[layer][rank].filter(
+      (expert) => !removed.includes(expert),
+    );
+    next[layer][rank] = [...retained, ...added];
   }
   for (const experts of next.flat()) experts.sort((a, b) => a - b);
   return next;
 }
 
-/** Numbers that a map takes. */
+/** How many numbers a map consists of. */
 export function sizeOfMap(map: wire.RankMap): number {
   return map.reduce(
     (sum, ranks) =>
-      sum + ranks.reduce((ofLayer, experts) => ofLayer + experts.length, 0),
+      sum + ranks.reduce((layerSum, experts) => layerSum + experts.length, 0),
     0,
   );
 }
 
-/** Numbers that exchanges take. */
+/** How many numbers exchanges consist of. */
 export function sizeOfExchanges(
   exchanges: readonly wire.RankMapExchange[],
 ): number {
@@ -53,8 +55,11 @@
   );
 }
 
-/** Ranks of each expert, from the experts of each rank. */
-export function placesOf(map: wire.RankMap, experts: number): number[][][] {
+/** Converts the experts of each rank to the ranks of each expert, by layer. */
+export function ranksOfExperts(
+  map: wire.RankMap,
+  experts: number,
+): number[][][] {
   return map.map((layer) => {
     const places = Array.from({ length: experts }, (): number[] => []);
     layer.forEach((ofRank, rank) => {
@@ -64,8 +69,11 @@
   });
 }
 
-/** Experts of each rank, from the ranks of each expert. */
-export function mapOf(places: number[][][], ranks: number): wire.RankMap {
+/** Converts the ranks of each expert to the experts of each rank, by layer. */
+export function expertsOfRanks(
+  places: number[][][],
+  ranks: number,
+): wire.RankMap {
   return places.map((layer) => {
     const map = Array.from({ length: ranks }, (): number[] => []);
     layer.forEach((ofExpert, expert) => {
--- a/packages/daemon/src/rank_group/map_planner_test.ts
+++ b/packages/daemon/src/rank_group/map_planner_test.ts
@@ -17,18 +17,21 @@
   );
 }
 
-/** Each expert on one rank, in turn. */
-function firstPlaces(): number[][][] {
+/** Places each expert on one rank, in turn. */
+function initialPlaces(): number[][][] {
   return Array.from({ length: SHAPE.layers }, () =>
     Array.from({ length: EXPERTS }, (_, expert) => [expert % RANKS]),
   );
 }
 
-/** Choices of one rank of which most fall on a few experts, from `liked` on. */
-function counted(random: common.Random, liked: number): number[] {
+/**
+ * The activations that one rank counts when most fall on a few experts,
+ * beginning with `firstPopular`.
+ */
+function skewedCounts(random: common.Random, firstPopular: number): number[] {
   return Array.from({ length: SHAPE.layers * EXPERTS }, (_, index) => {
-    const place = (index - liked + EXPERTS) % EXPERTS;
-    const mean = 2_000 * (place + 1) ** -1.3;
+    const position = (index - firstPopular + EXPERTS) % EXPERTS;
+    const mean = 2_000 * (position + 1) ** -1.3;
     return Math.round(mean * random.between(0.9, 1.1));
   });
 }
@@ -47,22 +50,22 @@
   return { planner, demand };
 }
 
-function feed(
+function addCounts(
   demand: demandModule.Demand,
   random: common.Random,
-  liked: number,
+  firstPopular: number,
   now: number,
 ): void {
   for (let rank = 0; rank < RANKS; rank++) {
-    demand.add(rank, counted(random, liked), now);
+    demand.add(rank, skewedCounts(random, firstPopular), now);
   }
 }
 
-/** Experts loaded, map after map, until no further map pays. */
-function copiesUntilEven(active: number): number {
+/** Number of experts loaded, map after map, until no further map pays. */
+function copiesUntilBalanced(active: number): number {
   const { planner, demand } = createPlanner();
-  feed(demand, new common.Random(5), 4, 0);
-  let places = firstPlaces();
+  addCounts(demand, new common.Random(5), 4, 0);
+  let places = initialPlaces();
   let copies = 0;
   for (let now = 0; now < 10_000; now += 500) {
     const planned = planner.plan(now, statusesOf(active), places);
@@ -78,30 +81,32 @@
   t.false(planner.isDue(0));
 });
 
-// Streams pause for the slowest rank until the next map is in force: a shift is
-// answered at the next look, and demand that stays is weighed five times a second.
-test("a shift is planned for at once, and calm demand seldom", (t) => {
+// Streams wait for the slowest rank until the next map is in force. So a shift
+// is planned for at the next check; while demand is stable, a new map is
+// considered five times a second.
+test("a map is planned at once after a shift, and seldom while demand is stable", (t) => {
   const { planner, demand } = createPlanner();
   const random = new common.Random(5);
   let now = 0;
-  for (; now < 3_000; now += 100) feed(demand, random, 4, now);
+  for (; now < 3_000; now += 100) addCounts(demand, random, 4, now);
   t.true(planner.isDue(now));
-  planner.plan(now, statusesOf(6), firstPlaces());
+  planner.plan(now, statusesOf(6), initialPlaces());
   t.false(planner.isDue(now + 50));
-  feed(demand, random, 30, now + 100);
+  addCounts(demand, random, 30, now + 100);
   t.true(planner.isDue(now + 100));
 });
 
-// Full of requests, the next shift would push every pass over the longest pause;
-// nearly empty, no caller is served sooner by a more even map.
+// In a full group, the next shift would make every iteration longer than the
+// longest pause. In a nearly empty one, a more balanced map makes no answer
+// faster.
 test("a full group loads more experts than one with room", (t) => {
-  const copies = [1, 8].map((active) => copiesUntilEven(active));
+  const copies = [1, 8].map((active) => copiesUntilBalanced(active));
   t.true(copies[0] > 0);
   t.true(copies[1] > copies[0]);
 });
 
-test("a map that is even already is left as it is", (t) => {
+test("a map that is already balanced is not changed", (t) => {
   const { planner, demand } = createPlanner();
   demand.add(0, new Array<number>(SHAPE.layers * EXPERTS).fill(2_000), 0);
-  t.is(planner.plan(0, statusesOf(8), firstPlaces()), undefined);
+  t.is(planner.plan(0, statusesOf(8), initialPlaces()), undefined);
 });
--- a/packages/daemon/src/rank_group/rank_links.ts
+++ b/packages/daemon/src/rank_group/rank_links.ts
@@ -5,137 +5,172 @@
 import * as entryMesh from "../mesh/entry_mesh.ts";
 import * as listenModule from "../settings/listen.ts";
 import type * as rankEngine from "./rank_engine.ts";
-import * as rankPort from "./rank_port.ts";
+import * as linkedRank from "./linked_rank.ts";
 
-/** Time between two beats of a leader, in milliseconds. */
-const LEADER_BEAT_MILLISECONDS = 200;
-/** Pause between attempts to link with the ranks that are missing. */
+/** Time between two heartbeats of a leader. */
+const HEARTBEAT_MILLISECONDS = 200;
+/** Pause between attempts to link with the ranks that are not linked. */
 const RELINK_MILLISECONDS = 300;
-/** How long a process of another group is left alone before it is asked again. */
-const FOREIGN_MILLISECONDS = 5_000;
-/** How long a new leader goes by what the last one knew. */
-const KNOWLEDGE_MILLISECONDS = 2_000;
+/**
+ * How long the leader waits before it links again with a process of another
+ * group.
+ */
+const OTHER_GROUP_PAUSE_MILLISECONDS = 5_000;
+/** How long a new leader uses the list of runners from the last leader. */
+const MAX_KNOWLEDGE_AGE_MILLISECONDS = 2_000;
 
 /**
- * Ranks of each kind that are told what a successor needs. Told to all ranks of a large
- * group it keeps a slow link busy for long: beats wait behind it, and ranks that hear
- * none take the lead from each other in turn.
+ * How many ranks count as likely successors, once by lowest number and once by
+ * position after the leader. Only they receive the group knowledge. Sent to all
+ * ranks of a large group, it would occupy a slow link for so long that
+ * heartbeats wait behind it, and ranks without heartbeats would take the lead
+ * from each other in turn.
  */
-const LIKELY_SUCCESSORS = 6;
+const LIKELY_SUCCESSORS_OF_EACH_KIND = 6;
 
-/** What linking with the ranks of a group needs. */
+/** What the links to the ranks of a group need. */
 export interface RankLinksParameters {
   token: number;
-  /** The leader's own place in the group. */
+  /** The leader's own rank in the group. */
   identity: wire.RankIdentity;
-  ownPort: rankPort.LinkedRank;
+  ownHandle: linkedRank.LinkedRank;
   service: string;
-  /** Engine of another runner, for while the process beside it is away. */
+  /**
+   * Connects to the engine of another runner directly, for the time in which
+   * the process beside that runner is away.
+   */
   engineAt: (runner: traffic.RunnerEntry) => rankEngine.RankEngine;
   /** Port on which all processes beside ranks accept links. */
   linkPort: number;
-  /** What the link of this host carries. */
+  /** Bytes per second that the network link of this host carries. */
   linkBytesPerSecond: number;
   runnerSource: traffic.DocumentSource<traffic.RunnerList>;
   /** What the last leader of the group knew. */
   knowledge: () => wire.GroupKnowledge | undefined;
-  /** First message on each link. */
+  /** The first message on each link. */
   hello: () => wire.RankHello;
-  /** Takes what a rank counted. */
-  onChosen: (rank: number, chosen: number[]) => void;
-  /** How often the own rank is to be counted; 0 for never. */
-  onOwnCounts: (milliseconds: number) => void;
-  /** There is a newer leader. */
+  /** Receives the activations that a rank counted. */
+  onCounts: (rank: number, chosen: number[]) => void;
+  /**
+   * Receives the period at which the own rank must count its activations; 0 for
+   * never.
+   */
+  onOwnCountPeriod: (milliseconds: number) => void;
+  /**
+   * Called when a rank knows a higher fencing token, so another process leads.
+   */
   onHigherToken: (token: number) => void;
   lifeCycle: common.LifeCycle;
 }
 
-/** A leader's links with all ranks of its group, for the time of one term. */
+/** A leader's links to all ranks of its group, for one term. */
 export class RankLinks {
-  /** All ranks that are known so far, the own one among them. */
-  readonly ports = new Map<number, rankPort.LinkedRank>();
+  /** All ranks known so far, including the leader's own. */
+  readonly handles = new Map<number, linkedRank.LinkedRank>();
   /** Open links, each with the rank at its far end. */
   readonly #links = new Map<wire.Link, number>();
   readonly #runners = new Map<number, traffic.RunnerEntry>();
   readonly #startedAt = common.now();
-  /** Experts over all layers; 0 while the engines are not known. */
-  numbersPerReading = 0;
-  /** What likely successors are told as soon as they are linked. */
-  #told: wire.GroupKnowledge | undefined;
+  /**
+   * How many counts one reading of a rank has: its experts over all layers. 0
+   * while the model is unknown.
+   */
+  countsPerReading = 0;
+  /**
+   * Group knowledge that likely successors receive as soon as they are linked.
+   */
+  #sharedKnowledge: wire.GroupKnowledge | undefined;
 
   constructor(readonly parameters: RankLinksParameters) {
-    this.ports.set(parameters.identity.rank, parameters.ownPort);
-    this.#takeOverRanks();
+    this.handles.set(parameters.identity.rank, parameters.ownHandle);
+    this.#adoptKnownRanks();
   }
 
   /**
-   * Ranks as the last leader knew them. One whose host is frozen cannot be asked
-   * which rank it is, and the group may stand still until its leader is succeeded.
+   * Creates the handles of the ranks that the last leader knew. A rank whose
+   * host is frozen cannot say which rank it is. Without its handle this term
+   * would wait for it, while the group may stand still.
    */
-  #takeOverRanks(): void {
+  #adoptKnownRanks(): void {
     const { identity } = this.parameters;
-    const known = this.parameters.knowledge();
-    if (known?.group !== identity.group) return;
-    if (known.epoch !== identity.epoch) return;
-    if (known.runners.length !== identity.size) return;
-    known.runners.forEach((runner, rank) => this.#portOf(runner, rank));
+    const lastKnowledge = this.parameters.knowledge();
+    if (lastKnowledge?.group !== identity.group) return;
+    if (lastKnowledge.epoch !== identity.epoch) return;
+    if (lastKnowledge.runners.length !== identity.size) return;
+    lastKnowledge.runners.forEach((runner, rank) =>
+      this.#handleOf(runner, rank),
+    );
   }
 
-  /** Runners of the ranks that are known, in order of rank. */
+  /** Runners of the known ranks, in order of rank. */
   get runners(): traffic.RunnerEntry[] {
     const byRank = [...this.#runners].sort(([left], [right]) => left - right);
     return byRank.map(([, runner]) => runner);
   }
 
-  /** Tells likely successors, now and when they link, what they need. */
-  tellKnowledge(knowledge: wire.GroupKnowledge): void {
-    this.#told = knowledge;
+  /**
+   * Sends the group knowledge to likely successors: now to those that are
+   * linked, later to each that links.
+   */
+  shareKnowledge(knowledge: wire.GroupKnowledge): void {
+    this.#sharedKnowledge = knowledge;
     for (const [link, rank] of this.#links) {
-      if (this.#maySucceed(rank)) link.send(knowledge);
+      if (this.#isLikelySuccessor(rank)) link.send(knowledge);
     }
   }
 
   /**
-   * Whether a rank is a likely successor: the lower its number, the shorter its
-   * patience with a silent leader; and the ranks after the own one hold passes.
+   * Whether a rank is a likely successor. The lower the number of a rank, the
+   * shorter its leader timeout; and the ranks after the leader's own hold
+   * iterations, so they take over sooner during a switch.
    */
-  #maySucceed(rank: number): boolean {
+  #isLikelySuccessor(rank: number): boolean {
     const { rank: own, size } = this.parameters.identity;
-    const after = (rank - own + size) % size;
-    return Math.min(rank, after) < LIKELY_SUCCESSORS;
+    const distance = (rank - own + size) % size;
+    return Math.min(rank, distance) < LIKELY_SUCCESSORS_OF_EACH_KIND;
   }
 
   /** Sends a message to all linked ranks. */
-  tellAll(message: wire.Message): void {
+  broadcast(message: wire.Message): void {
     for (const link of this.#links.keys()) link.send(message);
   }
 
-  /** Links with all ranks of the group, and tells them who leads. */
-  async keep(signal: AbortSignal): Promise<void> {
+  /**
+   * Links with all ranks of the group and sends them heartbeats until the
+   * signal aborts.
+   */
+  async maintain(signal: AbortSignal): Promise<void> {
     const { size } = this.parameters.identity;
-    const linked = new Set<string>();
-    const beat = setInterval(() => this.#beat(), LEADER_BEAT_MILLISECONDS);
+    const linkedAddresses = new Set<string>();
+    const heartbeatTimer = setInterval(
+      () => this.#sendHeartbeats(),
+      HEARTBEAT_MILLISECONDS,
+    );
     try {
       while (!signal.aborted) {
-        const missing = linked.size < size - 1 || this.ports.size < size;
-        if (missing) await this.#linkMissing(linked, signal);
+        const missing =
+          linkedAddresses.size < size - 1 || this.handles.size < size;
+        if (missing) await this.#linkMissing(linkedAddresses, signal);
         await common.sleep(RELINK_MILLISECONDS, signal);
       }
     } finally {
-      clearInterval(beat);
+      clearInterval(heartbeatTimer);
       for (const link of this.#links.keys()) link.close();
     }
   }
 
-  /** Tells all ranks who leads, and which of them are to tell what is chosen. */
-  #beat(): void {
-    const { identity, onOwnCounts } = this.parameters;
+  /**
+   * Sends each rank a heartbeat, which also sets how often the rank reports its
+   * activations.
+   */
+  #sendHeartbeats(): void {
+    const { identity, onOwnCountPeriod } = this.parameters;
     const plan = this.#countPlan();
     for (const [link, rank] of this.#links) {
-      link.send(this.#beatFor(rank, plan));
+      link.send(this.#heartbeatFor(rank, plan));
     }
-    const { countMilliseconds } = this.#beatFor(identity.rank, plan);
-    onOwnCounts(countMilliseconds);
+    const { countMilliseconds } = this.#heartbeatFor(identity.rank, plan);
+    onOwnCountPeriod(countMilliseconds);
   }
 
   #countPlan(): countPlan.CountPlan {
@@ -143,45 +178,56 @@
     const { rank } = identity;
     const linked = new Set([rank, ...this.#links.values()]);
     return countPlan.planCounts({
-      linked: [...linked].sort((left, right) => left - right),
-      numbersPerReading: this.numbersPerReading,
+      linkedRanks: [...linked].sort((left, right) => left - right),
+      countsPerReading: this.countsPerReading,
       linkBytesPerSecond,
     });
   }
 
-  #beatFor(rank: number, plan: countPlan.CountPlan): wire.LeaderBeat {
+  #heartbeatFor(rank: number, plan: countPlan.CountPlan): wire.LeaderHeartbeat {
     const { token, identity } = this.parameters;
     const { group, epoch } = identity;
-    const { tellers, periodMilliseconds } = plan;
-    const kind = wire.MessageKind.LeaderBeat;
-    const countMilliseconds = tellers.has(rank) ? periodMilliseconds : 0;
+    const { reporters, periodMilliseconds } = plan;
+    const kind = wire.MessageKind.LeaderHeartbeat;
+    const countMilliseconds = reporters.has(rank) ? periodMilliseconds : 0;
     return { kind, token, group, epoch, countMilliseconds };
   }
 
-  async #linkMissing(linked: Set<string>, signal: AbortSignal): Promise<void> {
+  async #linkMissing(
+    linkedAddresses: Set<string>,
+    signal: AbortSignal,
+  ): Promise<void> {
     const { service, lifeCycle } = this.parameters;
     for (const runner of await this.#possibleRunners()) {
       if (runner.service !== service) continue;
-      if (linked.has(runner.address)) continue;
-      linked.add(runner.address);
-      lifeCycle.run("rank", async () => {
+      if (linkedAddresses.has(runner.address)) continue;
+      linkedAddresses.add(runner.address);
+      lifeCycle.run("link to rank", async () => {
         await this.#serveRank(runner, signal);
-        linked.delete(runner.address);
+        linkedAddresses.delete(runner.address);
       });
     }
   }
 
-  /** Runners that may be of the group: as the last leader knew, or all listed. */
+  /**
+   * Runners that may belong to the group: those that the last leader knew, or
+   * later all listed ones.
+   */
   async #possibleRunners(): Promise<traffic.RunnerEntry[]> {
     const { identity } = this.parameters;
-    const known = this.parameters.knowledge();
-    const fresh = common.now() - this.#startedAt < KNOWLEDGE_MILLISECONDS;
-    if (known?.group === identity.group && fresh) return known.runners;
+    const lastKnowledge = this.parameters.knowledge();
+    const fresh =
+      common.now() - this.#startedAt < MAX_KNOWLEDGE_AGE_MILLISECONDS;
+    if (lastKnowledge?.group === identity.group && fresh)
+      return lastKnowledge.runners;
     const read = await this.parameters.runnerSource.next(0);
     return read.isOk() ? (read.value.value?.runners ?? []) : [];
   }
 
-  /** Links with the process beside a runner for as long as it lasts. */
+  /**
+   * Links with the process beside a runner and receives its messages until the
+   * link closes.
+   */
   async #serveRank(
     runner: traffic.RunnerEntry,
     signal: AbortSignal,
@@ -210,26 +256,29 @@
           }
           const { identity } = message;
           if (identity?.group !== group) {
-            // Of another group: its own leader links with it.
-            if (identity) await common.sleep(FOREIGN_MILLISECONDS, signal);
+            // A rank of another group: its own leader links with it.
+            if (identity)
+              await common.sleep(OTHER_GROUP_PAUSE_MILLISECONDS, signal);
             return link.close();
           }
-          this.#portOf(runner, identity.rank).attach(link);
+          this.#handleOf(runner, identity.rank).attach(link);
           this.#links.set(link, identity.rank);
-          link.send(this.#beatFor(identity.rank, this.#countPlan()));
-          const succeeds = this.#maySucceed(identity.rank);
-          if (this.#told && succeeds) link.send(this.#told);
+          link.send(this.#heartbeatFor(identity.rank, this.#countPlan()));
+          const maySucceed = this.#isLikelySuccessor(identity.rank);
+          if (this.#sharedKnowledge && maySucceed)
+            link.send(this.#sharedKnowledge);
           break;
         }
-        case wire.MessageKind.RankBeat: {
+        case wire.MessageKind.RankHeartbeat: {
           const { rank } = message.identity;
-          this.#portOf(runner, rank).hear(message.status);
-          this.parameters.onChosen(rank, message.chosen);
+          this.#handleOf(runner, rank).updateStatus(message.status);
+          this.parameters.onCounts(rank, message.chosen);
           break;
         }
         case wire.MessageKind.RankReply:
         case wire.MessageKind.RankListsAnswer:
-          for (const port of this.ports.values()) port.receive(message, link);
+          for (const handle of this.handles.values())
+            handle.receive(message, link);
           break;
         default:
           link.close(wire.LinkEnd.Unreadable);
@@ -238,31 +287,31 @@
     this.#links.delete(link);
   }
 
-  /** Learns from the engine itself which rank a runner is. */
+  /** Reads from the engine directly which rank a runner is. */
   async #identify(runner: traffic.RunnerEntry): Promise<void> {
     const report = await this.parameters.engineAt(runner).report();
     if (report.isErr()) return;
     const { identity, status } = report.value;
     if (identity.group !== this.parameters.identity.group) return;
-    this.#portOf(runner, identity.rank).hear(status);
+    this.#handleOf(runner, identity.rank).updateStatus(status);
   }
 
-  #portOf(runner: traffic.RunnerEntry, rank: number): rankPort.LinkedRank {
+  #handleOf(runner: traffic.RunnerEntry, rank: number): linkedRank.LinkedRank {
     const isNew = !this.#runners.has(rank);
     this.#runners.set(rank, runner);
-    if (isNew && this.#told) {
-      this.tellKnowledge({ ...this.#told, runners: this.runners });
+    if (isNew && this.#sharedKnowledge) {
+      this.shareKnowledge({ ...this.#sharedKnowledge, runners: this.runners });
     }
-    const known = this.ports.get(rank);
+    const known = this.handles.get(rank);
     if (known) return known;
     const { token, identity } = this.parameters;
     const { epoch } = identity;
-    const created = new rankPort.LinkedRank(
+    const created = new linkedRank.LinkedRank(
       rank,
       this.parameters.engineAt(runner),
       () => ({ token, epoch }),
     );
-    this.ports.set(rank, created);
+    this.handles.set(rank, created);
     return created;
   }
 }
--- a/packages/daemon/src/rank_group/rank_member.ts
+++ b/packages/daemon/src/rank_group/rank_member.ts
@@ -5,50 +5,63 @@
 import type * as rankEngine from "./rank_engine.ts";
 import * as readingPlan from "./reading_plan.ts";
 
-/** How long the state is read closely once that is asked for. */
-const LOOK_CLOSELY_MILLISECONDS = 100;
-/** Longest time for which a map that is loaded is waited for. */
-const LOADING_MILLISECONDS = 4_000;
-/** Longest time without a look at what there is to read. */
-const LONGEST_PAUSE_MILLISECONDS = 300;
-/** Maps of earlier orders that are kept: the one in force, and two after it. */
-const KEPT_MAPS = 3;
-
-/** An order with who gives it, and in which forming of the group. */
+/** How long the state is read closely after `readClosely`. */
+const CLOSE_READING_MILLISECONDS = 100;
+/** Time limit for reading the state closely while the engine loads a map. */
+const LOADING_TIMEOUT_MILLISECONDS = 4_000;
+/** Longest pause before the process checks again what it has to read. */
+const MAX_PAUSE_MILLISECONDS = 300;
+/**
+ * How many maps of earlier orders are cached: the one in force, and two newer
+ * ones.
+ */
+const MAX_CACHED_MAPS = 3;
+
+/** An order of a leader, with its fencing token and group epoch. */
 export interface MemberCommand {
   token: number;
   epoch: number;
   order: wire.RankOrder;
 }
 
-/** What the process beside a rank knows of its own engine. */
+/**
+ * The engine of this process's own rank, as the process sees it: reads its
+ * state and its activations at the times that the reading plan gives, and
+ * carries out a leader's orders one at a time.
+ */
 export class RankMember {
   #report: rankEngine.RankReport | undefined;
-  #counts: rankEngine.ChosenCounts | undefined;
+  #counts: rankEngine.ActivationCounts | undefined;
   #reportedAt = -Infinity;
   #countedAt = -Infinity;
-  /** Choices that were not told to a leader yet. */
-  #untold: number[] = [];
+  /** Activations that were not yet reported to a leader, layer after layer. */
+  #unreportedCounts: number[] = [];
   #highestToken = 0;
-  #lookCloselyUntil = 0;
-  /** Version that the engine loads, when it should be there, and how long to wait. */
-  #awaited = { version: 0, loadedAt: 0, until: 0 };
-  /** How often the leader asks for choices; 0 for never. */
-  #askedMilliseconds = countPlan.COUNT_MILLISECONDS;
-  readonly #ordered = new common.ChangeNotice();
-  /** Maps that the engine was told to prepare, by version, oldest first. */
+  #closelyUntil = 0;
+  /**
+   * Version that the engine loads, when it should be loaded, and until when to
+   * read the state closely for it. Times of `common.now`.
+   */
+  #loadingMap = { version: 0, loadedAt: 0, until: 0 };
+  /** How often the leader wants activations counted; 0 for never. */
+  #countMilliseconds = countPlan.COUNT_PERIOD_MILLISECONDS;
+  readonly #readingDue = new common.ChangeNotice();
+  /** Maps that the engine was ordered to prepare, by version, oldest first. */
   readonly #maps = new Map<number, wire.RankMap>();
-  /** Orders run one at a time: each reads the engine's state before. */
-  #previous: Promise<unknown> = Promise.resolve();
+  /**
+   * Orders run one at a time, because each first reads the state of the engine.
+   */
+  #previousOrder: Promise<unknown> = Promise.resolve();
   readonly changed = new common.ChangeNotice();
 
   constructor(
     readonly engine: rankEngine.RankEngine,
-    /** What this process is to its group. */
-    readonly part: () => readingPlan.Part = () => readingPlan.Part.Alone,
+    /** The role of this process in its group. */
+    readonly role: () => readingPlan.GroupRole = () =>
+      readingPlan.GroupRole.Leaderless,
   ) {}
 
-  /** Where the engine is in its group; `undefined` before it told. */
+  /** The engine's rank and group; `undefined` before the first reading. */
   get identity(): wire.RankIdentity | undefined {
     return this.#report?.identity;
   }
@@ -58,69 +71,72 @@
     return this.#report?.status;
   }
 
-  /** Highest token that was obeyed or heard. */
+  /** The highest fencing token that was accepted. */
   get token(): number {
     return this.#highestToken;
   }
 
-  /** The map of a version, for all ranks; `undefined` if it is not remembered. */
+  /** The map of a version, for all ranks; `undefined` if it is not cached. */
   mapOf(version: number): wire.RankMap | undefined {
     return this.#maps.get(version);
   }
 
   /** Reads the engine's state often for a moment, beginning now. */
-  lookClosely(): void {
-    this.#lookCloselyUntil = common.now() + LOOK_CLOSELY_MILLISECONDS;
-    this.#ordered.announce();
+  readClosely(): void {
+    this.#closelyUntil = common.now() + CLOSE_READING_MILLISECONDS;
+    this.#readingDue.announce();
   }
 
-  /** Notes a token; whether none higher is known. */
-  heed(token: number): boolean {
+  /**
+   * Accepts a fencing token unless a higher one is known. Returns whether it
+   * was accepted.
+   */
+  acceptToken(token: number): boolean {
     if (token < this.#highestToken) return false;
     this.#highestToken = token;
     return true;
   }
 
-  /** Reads the engine over and over until the signal aborts. */
+  /** Reads the engine repeatedly until the signal aborts. */
   async watch(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
       await this.#read();
       const pause = Math.max(0, this.#nextReadingAt - common.now());
-      await this.#ordered.next(
-        Math.min(pause, LONGEST_PAUSE_MILLISECONDS),
+      await this.#readingDue.next(
+        Math.min(pause, MAX_PAUSE_MILLISECONDS),
         signal,
       );
     }
   }
 
-  /** Choices since the last call, layer after layer. */
-  takeChosen(): number[] {
-    const chosen = this.#untold;
-    this.#untold = [];
+  /** Activations since the last call, layer after layer. */
+  takeCounts(): number[] {
+    const chosen = this.#unreportedCounts;
+    this.#unreportedCounts = [];
     return chosen;
   }
 
-  /** Reads choices as often as the leader asks for them; 0 for never. */
-  countEvery(milliseconds: number): void {
-    const before = this.#askedMilliseconds;
-    this.#askedMilliseconds = milliseconds;
-    if (milliseconds === 0) this.#untold = [];
-    // What was counted while nobody asked is of the past.
+  /** Sets how often the activations are read; 0 for never. */
+  setCountPeriod(milliseconds: number): void {
+    const before = this.#countMilliseconds;
+    this.#countMilliseconds = milliseconds;
+    if (milliseconds === 0) this.#unreportedCounts = [];
+    // Counts from the time in which no leader asked for them are out of date.
     if (before === 0 && milliseconds > 0) this.#counts = undefined;
   }
 
   /** Carries out an order of a leader. */
   execute(command: MemberCommand): Promise<executeOrder.OrderOutcome> {
-    const turn = this.#previous.then(() => this.#execute(command));
-    this.#previous = turn;
+    const turn = this.#previousOrder.then(() => this.#execute(command));
+    this.#previousOrder = turn;
     return turn;
   }
 
   async #execute(command: MemberCommand): Promise<executeOrder.OrderOutcome> {
     const { token, epoch, order } = command;
-    if (!this.heed(token)) {
+    if (!this.acceptToken(token)) {
       const end = wire.RankOrderEnd.Superseded;
-      const detail = `token ${this.#highestToken} is known`;
+      const detail = `fencing token ${this.#highestToken} is known`;
       return { end, detail, status: this.status };
     }
     const { engine } = this;
@@ -130,38 +146,45 @@
       token,
       epoch,
     });
-    const loads = order.kind === wire.RankOrderKind.Prepare;
+    const isPrepare = order.kind === wire.RankOrderKind.Prepare;
     const isDone = outcome.end === wire.RankOrderEnd.Done;
-    if (loads && isDone) this.#awaitMap(order);
-    // It can be armed for a map that is loaded only.
-    const arms = order.kind === wire.RankOrderKind.Arm;
-    if (arms && isDone) this.#awaited.until = 0;
+    if (isPrepare && isDone) this.#noteLoading(order);
+    // An engine can only be armed for a map that it has loaded.
+    const isArm = order.kind === wire.RankOrderKind.Arm;
+    if (isArm && isDone) this.#loadingMap.until = 0;
     return outcome;
   }
 
-  #awaitMap(order: wire.PrepareOrder): void {
+  #noteLoading(order: wire.PrepareOrder): void {
     const { version, map, copyMilliseconds = 0 } = order;
     const now = common.now();
-    const loadedAt = now + this.#copiesOf(map) * copyMilliseconds;
-    this.#awaited = { version, loadedAt, until: now + LOADING_MILLISECONDS };
-    this.#ordered.announce();
+    const loadedAt = now + this.#expertsToLoad(map) * copyMilliseconds;
+    this.#loadingMap = {
+      version,
+      loadedAt,
+      until: now + LOADING_TIMEOUT_MILLISECONDS,
+    };
+    this.#readingDue.announce();
     this.#maps.set(version, map);
-    if (this.#maps.size <= KEPT_MAPS) return;
-    // However many maps are loaded and left unused, the next one is told as changes to
-    // the one in force.
+    if (this.#maps.size <= MAX_CACHED_MAPS) return;
+    // The map in force stays cached however many others are loaded and not
+    // used, so that the next map can be sent as changes to it.
     const inForce = this.status?.mapVersion;
     const oldest = [...this.#maps.keys()].find((known) => known !== inForce);
     if (oldest !== undefined) this.#maps.delete(oldest);
   }
 
-  /** Experts of a map that the rank has to load for it, as far as is known here. */
-  #copiesOf(map: wire.RankMap): number {
+  /**
+   * Number of experts that the rank has to load for a map; 0 if the map in
+   * force is not cached.
+   */
+  #expertsToLoad(map: wire.RankMap): number {
     const { rank = 0 } = this.identity ?? {};
     const base = this.mapOf(this.status?.mapVersion ?? 0);
     if (!base) return 0;
     return map.reduce((sum, ranks, layer) => {
-      const held = base[layer]?.[rank] ?? [];
-      const added = ranks[rank].filter((expert) => !held.includes(expert));
+      const loaded = base[layer]?.[rank] ?? [];
+      const added = ranks[rank].filter((expert) => !loaded.includes(expert));
       return sum + added.length;
     }, 0);
   }
@@ -170,7 +193,8 @@
   async #read(): Promise<void> {
     const now = common.now();
     const state = this.#readingState(now);
-    const stateIsDue = now >= readingPlan.nextStateAt(state, this.#reportedAt);
+    const stateIsDue =
+      now >= readingPlan.nextStateReadingAt(state, this.#reportedAt);
     if (stateIsDue) {
       this.#reportedAt = now;
       const report = await this.engine.report();
@@ -180,18 +204,20 @@
     if (countIsDue) {
       this.#countedAt = now;
       const counts = await this.engine.chosen();
-      if (counts.isOk()) this.#count(counts.value);
+      if (counts.isOk()) this.#addCounts(counts.value);
     }
     if (stateIsDue || countIsDue) this.changed.announce();
   }
 
   #readingState(now: number): readingPlan.ReadingState {
     return {
-      part: this.part(),
+      role: this.role(),
       status: this.status,
-      loadedAt: this.#awaitsMap(now) ? this.#awaited.loadedAt : undefined,
-      closelyUntil: this.#lookCloselyUntil,
-      countMilliseconds: this.#askedMilliseconds,
+      expectedLoadedAt: this.#isLoadingMap(now)
+        ? this.#loadingMap.loadedAt
+        : undefined,
+      closelyUntil: this.#closelyUntil,
+      countMilliseconds: this.#countMilliseconds,
       now,
     };
   }
@@ -199,44 +225,46 @@
   get #nextReadingAt(): number {
     const now = common.now();
     const state = this.#readingState(now);
-    const stateAt = readingPlan.nextStateAt(state, this.#reportedAt);
+    const stateAt = readingPlan.nextStateReadingAt(state, this.#reportedAt);
     return Math.min(stateAt, this.#nextCountAt(now));
   }
 
   #nextCountAt(now: number): number {
-    const allTell = this.#askedMilliseconds <= countPlan.COUNT_MILLISECONDS;
+    const allReport =
+      this.#countMilliseconds <= countPlan.COUNT_PERIOD_MILLISECONDS;
     const state = this.#readingState(now);
-    return readingPlan.nextCountAt(state, this.#countedAt, allTell);
+    return readingPlan.nextCountReadingAt(state, this.#countedAt, allReport);
   }
 
-  #count(counts: rankEngine.ChosenCounts): void {
+  #addCounts(counts: rankEngine.ActivationCounts): void {
     const before = this.#counts;
     this.#counts = counts;
-    // Of an engine that ran before this process, it is not known how old its
-    // counts are; those of a young one are new.
-    if (!before && !this.#young) return;
-    // An engine that started anew counts from 0, and may have come further since
-    // than it had before.
+    // For an engine that ran before this process, the age of its counts is
+    // unknown. Those of a newly formed group are recent.
+    if (!before && !this.#isNewlyFormed) return;
+    // A restarted engine counts from 0 again, and by now it may have counted
+    // more than before the restart.
     const restarted =
       counts.bornAt !== (before?.bornAt ?? counts.bornAt) ||
       counts.chosen.some(
         (count, index) => count < (before?.chosen[index] ?? 0),
       );
     counts.chosen.forEach((count, index) => {
-      const old = restarted ? 0 : (before?.chosen[index] ?? 0);
-      this.#untold[index] = (this.#untold[index] ?? 0) + count - old;
+      const previous = restarted ? 0 : (before?.chosen[index] ?? 0);
+      this.#unreportedCounts[index] =
+        (this.#unreportedCounts[index] ?? 0) + count - previous;
     });
   }
 
-  /** Whether the group is being formed, or still has its first map. */
-  get #young(): boolean {
-    return this.status !== undefined && readingPlan.isYoung(this.status);
+  /** Whether the group is not yet open or still uses its first map. */
+  get #isNewlyFormed(): boolean {
+    return this.status !== undefined && readingPlan.isNewlyFormed(this.status);
   }
 
-  /** Whether the engine loads a map that it was told to prepare. */
-  #awaitsMap(now: number): boolean {
-    const { version, until } = this.#awaited;
-    // An engine that uses a map tells it as prepared no more.
+  /** Whether the engine still loads a map that it was ordered to prepare. */
+  #isLoadingMap(now: number): boolean {
+    const { version, until } = this.#loadingMap;
+    // An engine that uses a map no longer reports it as prepared.
     const { preparedVersion = 0, mapVersion = 0 } = this.status ?? {};
     return Math.max(preparedVersion, mapVersion) < version && now < until;
   }
--- a/packages/daemon/src/rank_group/read_group_model.ts
+++ b/packages/daemon/src/rank_group/read_group_model.ts
@@ -2,10 +2,14 @@
 import type * as traffic from "@geraniumkeel/traffic";
 import type * as wire from "@geraniumkeel/wire";
 
-/** Pause before the store is asked again for the shape of the engines. */
-const PAUSE_MILLISECONDS = 300;
+/** Pause before the store is read again. */
+const RETRY_PAUSE_MILLISECONDS = 300;
 
-/** Reads from the configuration what a group's engines are, until it is there. */
+/**
+ * Reads the shape of a group's engines and the longest pause of its streams
+ * from the configuration. Retries until the configuration describes the
+ * engines; `undefined` if the signal aborts first.
+ */
 export async function readGroupModel(parameters: {
   configurationSource: traffic.DocumentSource<traffic.TrafficConfiguration>;
   service: string;
@@ -13,23 +17,26 @@
   signal: AbortSignal;
 }): Promise<wire.GroupModel | undefined> {
   const { configurationSource, service, logger, signal } = parameters;
-  let told = false;
+  let isLogged = false;
   while (!signal.aborted) {
     const read = await configurationSource.next(0);
-    if (read.isErr() && !told) {
-      told = true;
+    if (read.isErr() && !isLogged) {
+      isLogged = true;
       const code = common.EventCode.DocumentUnavailable;
       logger.event(code, { document: "configuration", ...read.error });
     }
     const value = read.isOk() ? read.value.value : undefined;
     const model = value && modelOf(value, service);
     if (model) return model;
-    await common.sleep(PAUSE_MILLISECONDS, signal);
+    await common.sleep(RETRY_PAUSE_MILLISECONDS, signal);
   }
   return undefined;
 }
 
-/** What the configuration says of a service's engines and of their streams. */
+/**
+ * The model of a service's group; `undefined` if the configuration does not
+ * describe its engines.
+ */
 function modelOf(
   configuration: traffic.TrafficConfiguration,
   service: string,
