--- a/packages/daemon/src/dispatch/conduct_attempt.ts
+++ b/packages/daemon/src/dispatch/conduct_attempt.ts
@@ -1,6 +1,6 @@
 import * as common from "@geraniumkeel/common";
 import * as wire from "@geraniumkeel/wire";
-import * as brokenRun from "../quarantine/broken_run.ts";
+import * as runnerCrash from "../quarantine/runner_crash.ts";
 import type * as quarantineModule from "../quarantine/quarantine.ts";
 import type * as answerSink from "./answer_sink.ts";
 import * as outgoingAttempt from "./outgoing_attempt.ts";
@@ -79,7 +79,7 @@
         service,
         version: UNKNOWN_VERSION,
         endedAt: common.now(),
-        evidence: brokenRun.EndEvidence.Reported,
+        evidence: runnerCrash.EndEvidence.Reported,
         runs: [{ request: identifier, fingerprint, startedAt }],
       });
     }
--- a/packages/daemon/src/forwarding/forwarded_request.ts
+++ b/packages/daemon/src/forwarding/forwarded_request.ts
@@ -1,7 +1,7 @@
 import * as common from "@geraniumkeel/common";
 import * as traffic from "@geraniumkeel/traffic";
 import type * as retryBudget from "../dispatch/retry_budget.ts";
-import type * as endWatch from "../quarantine/end_watch.ts";
+import type * as crashDetector from "../quarantine/crash_detector.ts";
 import * as fingerprint from "../quarantine/fingerprint.ts";
 import type * as quarantine from "../quarantine/quarantine.ts";
 import type * as watchedRequests from "../quarantine/watched_requests.ts";
@@ -38,7 +38,7 @@
   caller: runnerCaller.RunnerCaller;
   budgetOf: (service: string) => retryBudget.RetryBudget;
   quarantine: quarantine.Quarantine;
-  endWatch: endWatch.EndWatch;
+  endWatch: crashDetector.EndWatch;
   onHeard: (runner: traffic.RunnerEntry) => void;
   random: common.Random;
   metrics: common.Metrics;
--- a/packages/daemon/src/forwarding/forwarder.ts
+++ b/packages/daemon/src/forwarding/forwarder.ts
@@ -1,7 +1,7 @@
 import * as common from "@geraniumkeel/common";
 import type * as retryBudget from "../dispatch/retry_budget.ts";
 import * as traffic from "@geraniumkeel/traffic";
-import type * as endWatch from "../quarantine/end_watch.ts";
+import type * as crashDetector from "../quarantine/crash_detector.ts";
 import type * as quarantine from "../quarantine/quarantine.ts";
 import * as admitRequest from "./admit_request.ts";
 import * as forwardRequest from "./forward_request.ts";
@@ -21,7 +21,7 @@
   caller: runnerCaller.RunnerCaller;
   budgetOf: (service: string) => retryBudget.RetryBudget;
   quarantine: quarantine.Quarantine;
-  endWatch: endWatch.EndWatch;
+  endWatch: crashDetector.EndWatch;
   /** Told of each answer that a runner begins. */
   onHeard: (runner: traffic.RunnerEntry) => void;
   random: common.Random;
--- a/packages/daemon/src/forwarding/forwarder_test.ts
+++ b/packages/daemon/src/forwarding/forwarder_test.ts
@@ -4,7 +4,7 @@
 import * as runnerFixture from "@geraniumkeel/traffic/runner_fixture";
 import * as neverthrow from "neverthrow";
 import * as retryBudget from "../dispatch/retry_budget.ts";
-import * as endWatch from "../quarantine/end_watch.ts";
+import * as crashDetector from "../quarantine/crash_detector.ts";
 import * as quarantineFixture from "../quarantine/quarantine_fixture.ts";
 import * as forwardRequest from "./forward_request.ts";
 import * as forwarderModule from "./forwarder.ts";
@@ -116,7 +116,7 @@
     },
     budgetOf: () => budget,
     quarantine: quarantineFixture.createQuarantine(),
-    endWatch: new endWatch.EndWatch({
+    endWatch: new crashDetector.EndWatch({
       presenceOf,
       inUse: (runner) => board.inUse(runner),
       endOf: () => undefined,
--- a/packages/daemon/src/forwarding_mod.ts
+++ b/packages/daemon/src/forwarding_mod.ts
@@ -9,7 +9,7 @@
 export * from "./forwarding/runner_board.ts";
 export * from "./forwarding/runner_caller.ts";
 export * from "./gateway/gateway.ts";
-export * from "./quarantine/broken_run.ts";
+export * from "./quarantine/runner_crash.ts";
 export * from "./gateway/operator_view.ts";
 export * from "./rank_group/execute_order.ts";
 export * from "./rank_group/group_rank.ts";
--- a/packages/daemon/src/gateway/gateway.ts
+++ b/packages/daemon/src/gateway/gateway.ts
@@ -10,8 +10,8 @@
 import * as entryMesh from "../mesh/entry_mesh.ts";
 import * as memberRows from "../mesh/member_rows.ts";
 import * as epochConfirmation from "./epoch_confirmation.ts";
-import * as endReview from "../quarantine/end_review.ts";
-import * as endWatch from "../quarantine/end_watch.ts";
+import * as crashReview from "../quarantine/crash_review.ts";
+import * as crashDetector from "../quarantine/crash_detector.ts";
 import * as quarantine from "../quarantine/quarantine.ts";
 import * as quarantineRows from "../quarantine/quarantine_rows.ts";
 
@@ -75,8 +75,8 @@
   readonly forwarder: forwarderModule.Forwarder;
   readonly mesh: entryMesh.EntryMesh;
   readonly quarantine: quarantine.Quarantine;
-  readonly endWatch: endWatch.EndWatch;
-  readonly endReview: endReview.EndReview;
+  readonly endWatch: crashDetector.EndWatch;
+  readonly endReview: crashReview.EndReview;
   readonly #rows: quarantineRows.QuarantineRows;
   readonly #confirmation: epochConfirmation.EpochConfirmation;
   /** The latest reading of the configuration from the store. */
@@ -107,13 +107,13 @@
       logger,
       metrics,
     });
-    this.endWatch = new endWatch.EndWatch({
+    this.endWatch = new crashDetector.EndWatch({
       presenceOf: (runner) => caller.presenceOf(runner),
       inUse: (runner) => this.board.inUse(runner),
       endOf: (life) => this.quarantine.endOf(life),
       onEnd: (end) => this.quarantine.runnerEnded(end),
     });
-    this.endReview = new endReview.EndReview({
+    this.endReview = new crashReview.EndReview({
       clock: common.now,
       endOf: (life) => this.quarantine.endOf(life),
       endedLives: (earliest, latest) =>
--- a/packages/daemon/src/quarantine/evidence_test.ts
+++ b/packages/daemon/src/quarantine/crash_counts_test.ts
@@ -1,26 +1,26 @@
 import * as ava from "ava";
 import * as fastCheck from "fast-check";
-import * as evidence from "./evidence.ts";
+import * as crashCounts from "./crash_counts.ts";
 
 const test = ava.default;
 
-function run(startedAt: number, endedAt: number): evidence.EndedRun {
+function run(startedAt: number, endedAt: number): crashCounts.EndedRun {
   return { startedAt, endedAt };
 }
 
 // One request sent again after each end: three runners in turn.
 test("runs that follow each other prove it with the third", (t) => {
   const runs = [run(0, 100), run(110, 200), run(4_000, 4_100)];
-  t.deepEqual(evidence.weigh(runs), { ends: 3, inTurn: 3 });
-  t.false(evidence.proves(evidence.weigh(runs.slice(0, 2))));
-  t.true(evidence.proves(evidence.weigh(runs)));
+  t.deepEqual(crashCounts.weigh(runs), { ends: 3, inTurn: 3 });
+  t.false(crashCounts.proves(crashCounts.weigh(runs.slice(0, 2))));
+  t.true(crashCounts.proves(crashCounts.weigh(runs)));
 });
 
 // The same request sent twice at once, and twice again.
 test("runs of two copies at once prove it with the third", (t) => {
   const runs = [run(0, 100), run(20, 110), run(4_000, 4_100)];
-  t.deepEqual(evidence.weigh(runs), { ends: 3, inTurn: 2 });
-  t.true(evidence.proves(evidence.weigh(runs)));
+  t.deepEqual(crashCounts.weigh(runs), { ends: 3, inTurn: 2 });
+  t.true(crashCounts.proves(crashCounts.weigh(runs)));
 });
 
 // Many hosts are lost at once while a popular request is under way at each of them.
@@ -28,8 +28,8 @@
   const runs = Array.from({ length: 50 }, (_, index) =>
     run(index, 1_000 + index),
   );
-  t.deepEqual(evidence.weigh(runs), { ends: 50, inTurn: 1 });
-  t.false(evidence.proves(evidence.weigh(runs)));
+  t.deepEqual(crashCounts.weigh(runs), { ends: 50, inTurn: 1 });
+  t.false(crashCounts.proves(crashCounts.weigh(runs)));
 });
 
 test("the order in which runs are told does not matter", (t) => {
@@ -45,7 +45,7 @@
         const runs = pairs.map(([start, lasts]) => run(start, start + lasts));
         const split = runs.length === 0 ? 0 : turn % runs.length;
         const turned = [...runs.slice(split), ...runs.slice(0, split)];
-        t.deepEqual(evidence.weigh(turned), evidence.weigh(runs));
+        t.deepEqual(crashCounts.weigh(turned), crashCounts.weigh(runs));
       },
     ),
     { seed: 1 },
--- a/packages/daemon/src/quarantine/end_watch.ts
+++ b/packages/daemon/src/quarantine/crash_detector.ts
@@ -1,6 +1,6 @@
 import * as common from "@geraniumkeel/common";
 import * as traffic from "@geraniumkeel/traffic";
-import * as brokenRun from "./broken_run.ts";
+import * as runnerCrash from "./runner_crash.ts";
 
 /**
  * Time for which a run that broke off waits to be explained, in milliseconds. A runner
@@ -19,7 +19,7 @@
 interface WatchedRunner {
   runner: traffic.RunnerEntry;
   brokenAt: number;
-  runs: brokenRun.BrokenRun[];
+  runs: runnerCrash.BrokenRun[];
   /** The look that is under way. */
   look: Promise<void> | undefined;
 }
@@ -32,7 +32,7 @@
   /** When a life of a runner ended, if any entry saw it. */
   endOf: (life: string) => number | undefined;
   /** Told once for each run that a runner's end explains. */
-  onEnd: (end: brokenRun.RunnerEnd) => void;
+  onEnd: (end: runnerCrash.RunnerEnd) => void;
 }
 
 /**
@@ -52,13 +52,13 @@
    */
   async brokenOff(
     runner: traffic.RunnerEntry,
-    run: brokenRun.BrokenRun,
+    run: runnerCrash.BrokenRun,
   ): Promise<void> {
     this.#forgetOld();
     const life = traffic.lifeOf(runner);
     const endedAt = this.parameters.endOf(life);
     if (endedAt !== undefined) {
-      const evidence = brokenRun.EndEvidence.Known;
+      const evidence = runnerCrash.EndEvidence.Known;
       const end = { ...factsOf(runner), endedAt, evidence, runs: [run] };
       return this.parameters.onEnd(end);
     }
@@ -74,7 +74,7 @@
   toldEnd(life: string, endedAt: number): void {
     const watched = this.#watched.get(life);
     if (!watched) return;
-    this.#ended(watched, brokenRun.EndEvidence.Known, endedAt);
+    this.#ended(watched, runnerCrash.EndEvidence.Known, endedAt);
   }
 
   /** Takes a new list: a runner whose address another life has now has ended. */
@@ -89,7 +89,7 @@
     for (const [life, watched] of this.#watched) {
       const present = lives.get(traffic.placeOf(watched.runner));
       if (present === undefined || present === life) continue;
-      const evidence = brokenRun.EndEvidence.Replaced;
+      const evidence = runnerCrash.EndEvidence.Replaced;
       this.#ended(watched, evidence, watched.brokenAt);
     }
   }
@@ -106,7 +106,7 @@
     watched.look = undefined;
     switch (presence) {
       case common.Presence.Refused: {
-        const evidence = brokenRun.EndEvidence.Refused;
+        const evidence = runnerCrash.EndEvidence.Refused;
         return this.#ended(watched, evidence, watched.brokenAt);
       }
       case common.Presence.Listening:
@@ -120,7 +120,7 @@
 
   #ended(
     watched: WatchedRunner,
-    evidence: brokenRun.EndEvidence,
+    evidence: runnerCrash.EndEvidence,
     endedAt: number,
   ): void {
     const { runner, runs } = watched;
@@ -147,7 +147,7 @@
 
 function factsOf(
   runner: traffic.RunnerEntry,
-): Pick<brokenRun.RunnerEnd, "life" | "runner" | "service" | "version"> {
+): Pick<runnerCrash.RunnerEnd, "life" | "runner" | "service" | "version"> {
   const { identifier, service, version } = runner;
   return { life: traffic.lifeOf(runner), runner: identifier, service, version };
 }
--- a/packages/daemon/src/quarantine/end_watch_test.ts
+++ b/packages/daemon/src/quarantine/crash_detector_test.ts
@@ -2,30 +2,30 @@
 import * as common from "@geraniumkeel/common";
 import * as traffic from "@geraniumkeel/traffic";
 import * as runnerFixture from "@geraniumkeel/traffic/runner_fixture";
-import * as brokenRun from "./broken_run.ts";
-import * as endWatch from "./end_watch.ts";
+import * as runnerCrash from "./runner_crash.ts";
+import * as crashDetector from "./crash_detector.ts";
 
 const test = ava.default;
 
 const LIFE = traffic.lifeOf(runnerFixture.createRunner());
 
-function runOf(request = "q"): brokenRun.BrokenRun {
+function runOf(request = "q"): runnerCrash.BrokenRun {
   return { request, fingerprint: "f", startedAt: common.now() };
 }
 
 interface Scene {
-  watch: endWatch.EndWatch;
-  ends: brokenRun.RunnerEnd[];
+  watch: crashDetector.EndWatch;
+  ends: runnerCrash.RunnerEnd[];
   looks: number;
 }
 
 function sceneOf(presence: common.Presence, inUse = true): Scene {
-  const ends: brokenRun.RunnerEnd[] = [];
+  const ends: runnerCrash.RunnerEnd[] = [];
   const lives = new Map<string, number>();
   const scene: Scene = {
     ends,
     looks: 0,
-    watch: new endWatch.EndWatch({
+    watch: new crashDetector.EndWatch({
       presenceOf: async () => {
         scene.looks++;
         return presence;
@@ -53,7 +53,7 @@
     scene.ends[0].runs.map(({ request }) => request),
     ["q", "r"],
   );
-  t.is(scene.ends[0].evidence, brokenRun.EndEvidence.Refused);
+  t.is(scene.ends[0].evidence, runnerCrash.EndEvidence.Refused);
 });
 
 test("a run that is given up after its runner's end is explained by it", async (t) => {
@@ -64,7 +64,7 @@
   t.is(scene.ends.length, 2);
   t.is(scene.ends[1].runs[0].request, "late");
   t.is(scene.ends[1].endedAt, scene.ends[0].endedAt);
-  t.is(scene.ends[1].evidence, brokenRun.EndEvidence.Known);
+  t.is(scene.ends[1].evidence, runnerCrash.EndEvidence.Known);
 });
 
 // An answer that a sound runner broke off must not count as the runner's end.
@@ -91,7 +91,7 @@
     runners: [runnerFixture.createRunner({ bornAt: 2 })],
   });
   t.is(scene.ends.length, 1);
-  t.is(scene.ends[0].evidence, brokenRun.EndEvidence.Replaced);
+  t.is(scene.ends[0].evidence, runnerCrash.EndEvidence.Replaced);
 });
 
 // Runners that leave as planned may cut off what they still run.
@@ -111,5 +111,5 @@
   scene.watch.toldEnd(LIFE, endedAt);
   t.is(scene.ends.length, 1);
   t.is(scene.ends[0].endedAt, endedAt);
-  t.is(scene.ends[0].evidence, brokenRun.EndEvidence.Known);
+  t.is(scene.ends[0].evidence, runnerCrash.EndEvidence.Known);
 });
--- a/packages/daemon/src/quarantine/end_review_test.ts
+++ b/packages/daemon/src/quarantine/crash_review_test.ts
@@ -1,7 +1,7 @@
 import * as ava from "ava";
 import * as traffic from "@geraniumkeel/traffic";
 import * as runnerFixture from "@geraniumkeel/traffic/runner_fixture";
-import * as endReview from "./end_review.ts";
+import * as crashReview from "./crash_review.ts";
 
 const test = ava.default;
 
@@ -9,7 +9,7 @@
 const LIST: traffic.RunnerList = { version: 1, runners: [RUNNER] };
 
 interface Scene {
-  review: endReview.EndReview;
+  review: crashReview.EndReview;
   alive: string[];
   /** Has time pass. */
   pass: (milliseconds: number) => void;
@@ -20,7 +20,7 @@
   let now = 0;
   const alive: string[] = [];
   const life = traffic.lifeOf(RUNNER);
-  const review = new endReview.EndReview({
+  const review = new crashReview.EndReview({
     clock: () => now,
     endOf: (asked) => (asked === life ? 0 : undefined),
     endedLives: (earliest, latest) =>
--- a/packages/daemon/src/quarantine/quarantine.ts
+++ b/packages/daemon/src/quarantine/quarantine.ts
@@ -1,11 +1,11 @@
 import * as common from "@geraniumkeel/common";
 import * as wire from "@geraniumkeel/wire";
-import type * as brokenRun from "./broken_run.ts";
+import type * as runnerCrash from "./runner_crash.ts";
 import * as quarantineCase from "./quarantine_case.ts";
-import * as standing from "./standing.ts";
+import * as trialStatus from "./trial_status.ts";
 import * as suspectLedger from "./suspect_ledger.ts";
 import * as suspicionLimit from "./suspicion_limit.ts";
-import * as toldEnds from "./told_ends.ts";
+import * as suspicionsMessage from "./suspicions_message.ts";
 import * as watchedRequests from "./watched_requests.ts";
 
 /** Runs that one log line names at most. */
@@ -138,7 +138,7 @@
   }
 
   /** A runner ended while requests of this entry were under way there. */
-  runnerEnded(end: brokenRun.RunnerEnd): void {
+  runnerEnded(end: runnerCrash.RunnerEnd): void {
     this.#logEnd(end);
     const { life, runner, service, version, endedAt } = end;
     const runs = this.#limit.take(
@@ -188,7 +188,9 @@
   /** Takes what another entry tells. */
   take(message: wire.Suspicions, from: string): void {
     const now = common.now();
-    const reports = message.ends.map((told) => toldEnds.fromTold(told, now));
+    const reports = message.ends.map((told) =>
+      suspicionsMessage.fromTold(told, now),
+    );
     const change = this.#merge(reports, message.held);
     const relayed = this.parameters.relays && change.news ? reports : [];
     // The sender may lack the ends that others saw, and with them the proof.
@@ -203,7 +205,7 @@
   everything(): wire.Suspicions | undefined {
     const reports = this.#ledger.weightiest(MOST_TOLD_AT_ONCE);
     if (reports.length === 0) return undefined;
-    return toldEnds.messageOf(reports, [...this.#ledger.held]);
+    return suspicionsMessage.messageOf(reports, [...this.#ledger.held]);
   }
 
   /** Requests that are held, for operators. */
@@ -223,8 +225,8 @@
     return { ...this.#ledger.size, held: this.cases() };
   }
 
-  #standingOf(fingerprint: string): standing.HeldStanding {
-    return standing.standingOf({
+  #standingOf(fingerprint: string): trialStatus.HeldStanding {
+    return trialStatus.standingOf({
       ends: this.#ledger.endsUnder(fingerprint),
       versionsInUse: this.parameters.versionsOf(
         this.#ledger.serviceOf(fingerprint),
@@ -320,10 +322,10 @@
     const proofs = held.flatMap((name) => this.#ledger.reports(name));
     const told = [...reports, ...proofs];
     if (told.length === 0) return;
-    this.parameters.tell(toldEnds.messageOf(told, held), except);
+    this.parameters.tell(suspicionsMessage.messageOf(told, held), except);
   }
 
-  #logEnd(end: brokenRun.RunnerEnd): void {
+  #logEnd(end: runnerCrash.RunnerEnd): void {
     const { runner, service, life, evidence, endedAt, runs } = end;
     this.parameters.logger.event(common.EventCode.RunnerEnded, {
       runner,
--- a/packages/daemon/src/quarantine/quarantine_case.ts
+++ b/packages/daemon/src/quarantine/quarantine_case.ts
@@ -1,6 +1,6 @@
 import * as common from "@geraniumkeel/common";
-import * as evidence from "./evidence.ts";
-import type * as standing from "./standing.ts";
+import * as crashCounts from "./crash_counts.ts";
+import type * as trialStatus from "./trial_status.ts";
 import type * as suspectLedger from "./suspect_ledger.ts";
 
 /** A request in quarantine, as operators see it. */
@@ -19,10 +19,10 @@
   fingerprint: string;
   service: string;
   ends: suspectLedger.EndOfRequest[];
-  found: standing.HeldStanding;
+  found: trialStatus.HeldStanding;
 }): QuarantineCase {
   const { fingerprint, service, ends, found } = parameters;
-  const proving = ends[evidence.PROOF.ends - 1];
+  const proving = ends[crashCounts.PROOF.ends - 1];
   return {
     fingerprint,
     service,
--- a/packages/daemon/src/quarantine/quarantine_test.ts
+++ b/packages/daemon/src/quarantine/quarantine_test.ts
@@ -1,7 +1,7 @@
 import * as ava from "ava";
 import * as common from "@geraniumkeel/common";
 import type * as wire from "@geraniumkeel/wire";
-import * as brokenRun from "./broken_run.ts";
+import * as runnerCrash from "./runner_crash.ts";
 import type * as quarantine from "./quarantine.ts";
 import * as quarantineFixture from "./quarantine_fixture.ts";
 import type * as watchedRequests from "./watched_requests.ts";
@@ -78,7 +78,7 @@
 function endOf(
   name: string,
   fingerprints: string[] = ["f"],
-): brokenRun.RunnerEnd {
+): runnerCrash.RunnerEnd {
   clock += 100;
   const startedAt = clock - 50;
   return {
@@ -87,7 +87,7 @@
     service: "s",
     version: "1",
     endedAt: clock,
-    evidence: brokenRun.EndEvidence.Refused,
+    evidence: runnerCrash.EndEvidence.Refused,
     runs: fingerprints.map((fingerprint) => ({
       request: `of ${fingerprint}`,
       fingerprint,
--- a/packages/daemon/src/quarantine/suspect_ledger.ts
+++ b/packages/daemon/src/quarantine/suspect_ledger.ts
@@ -1,4 +1,4 @@
-import * as evidence from "./evidence.ts";
+import * as crashCounts from "./crash_counts.ts";
 
 /** Runners' ends that are remembered, at most. */
 const MOST_ENDS = 4_000;
@@ -58,7 +58,7 @@
 }
 
 /** An end with the run of one request there. */
-export interface EndOfRequest extends evidence.EndedRun {
+export interface EndOfRequest extends crashCounts.EndedRun {
   runner: string;
   version: string;
   seenBy: string[];
@@ -235,19 +235,19 @@
   #judge(fingerprint: string, change: LedgerChange): void {
     const ends = this.endsUnder(fingerprint);
     if (this.#held.has(fingerprint)) {
-      const stays = ends.length >= evidence.PROOF.ends;
+      const stays = ends.length >= crashCounts.PROOF.ends;
       if (!stays) this.#held.delete(fingerprint);
       const where = stays ? change.confirmed : change.released;
       where.push(fingerprint);
       return;
     }
-    if (!evidence.proves(evidence.weigh(ends))) return;
+    if (!crashCounts.proves(crashCounts.weigh(ends))) return;
     this.#holdNow(fingerprint, change);
   }
 
   #holdToo(fingerprint: string, change: LedgerChange): void {
     if (this.#held.has(fingerprint)) return;
-    if (this.endsUnder(fingerprint).length < evidence.PROOF.ends) return;
+    if (this.endsUnder(fingerprint).length < crashCounts.PROOF.ends) return;
     this.#holdNow(fingerprint, change);
   }
 
--- a/packages/daemon/src/quarantine/suspicion_limit.ts
+++ b/packages/daemon/src/quarantine/suspicion_limit.ts
@@ -1,5 +1,5 @@
 import * as common from "@geraniumkeel/common";
-import type * as brokenRun from "./broken_run.ts";
+import type * as runnerCrash from "./runner_crash.ts";
 
 /** Requests that an entry puts under suspicion in a second, at most. */
 const MOST_SUSPECTED = 500;
@@ -15,9 +15,9 @@
 
   /** As many of the runs as may be told of now, those of most weight first. */
   take(
-    runs: brokenRun.BrokenRun[],
+    runs: runnerCrash.BrokenRun[],
     weightOf: (fingerprint: string) => number,
-  ): brokenRun.BrokenRun[] {
+  ): runnerCrash.BrokenRun[] {
     const now = common.now();
     if (now - this.#since > SECOND_MILLISECONDS) {
       this.#since = now;
--- a/packages/daemon/src/quarantine/standing_test.ts
+++ b/packages/daemon/src/quarantine/trial_status_test.ts
@@ -1,5 +1,5 @@
 import * as ava from "ava";
-import * as standing from "./standing.ts";
+import * as trialStatus from "./trial_status.ts";
 import type * as suspectLedger from "./suspect_ledger.ts";
 
 const test = ava.default;
@@ -21,10 +21,13 @@
   times: number[],
   versions: string[] = ["1"],
   version = "1",
-): standing.HeldStanding["kind"] {
+): trialStatus.HeldStanding["kind"] {
   const versionsInUse = new Set(versions);
-  return standing.standingOf({ ends: ends(times, version), versionsInUse, now })
-    .kind;
+  return trialStatus.standingOf({
+    ends: ends(times, version),
+    versionsInUse,
+    now,
+  }).kind;
 }
 
 // One that was at three ends by chance must not be refused for long.
--- a/packages/stand_ins/src/measure/measure_quarantine.ts
+++ b/packages/stand_ins/src/measure/measure_quarantine.ts
@@ -1,5 +1,5 @@
 import type * as common from "@geraniumkeel/common";
-import type * as evidence from "@geraniumkeel/daemon/quarantine/evidence";
+import type * as crashCounts from "@geraniumkeel/daemon/quarantine/crash_counts";
 import * as quarantineCost from "./quarantine_world/quarantine_cost.ts";
 import * as world from "./quarantine_world/world.ts";
 import * as statistics from "./statistics.ts";
@@ -11,7 +11,7 @@
 const RUNNERS = 16;
 
 /** Rules of evidence that are compared. */
-const PROOFS: evidence.Evidence[] = [
+const PROOFS: crashCounts.Evidence[] = [
   { ends: 2, inTurn: 1 },
   { ends: 2, inTurn: 2 },
   { ends: 3, inTurn: 1 },
@@ -79,7 +79,7 @@
 }
 
 async function judgeInnocents(
-  proof: evidence.Evidence,
+  proof: crashCounts.Evidence,
 ): Promise<Record<string, unknown>> {
   const figures: Record<string, unknown> = {};
   for (const [grouping, shape] of Object.entries(GROUPINGS)) {
@@ -109,7 +109,7 @@
 }
 
 async function judgeEndings(
-  proof: evidence.Evidence,
+  proof: crashCounts.Evidence,
 ): Promise<Record<string, unknown>> {
   const figures: Record<string, unknown> = {};
   for (const [grouping, shape] of Object.entries(GROUPINGS)) {
--- a/packages/stand_ins/src/measure/quarantine_world/quarantine_cost.ts
+++ b/packages/stand_ins/src/measure/quarantine_world/quarantine_cost.ts
@@ -1,5 +1,5 @@
 import * as common from "@geraniumkeel/common";
-import * as brokenRun from "@geraniumkeel/daemon/quarantine/broken_run";
+import * as runnerCrash from "@geraniumkeel/daemon/quarantine/runner_crash";
 import * as fingerprint from "@geraniumkeel/daemon/quarantine/fingerprint";
 import * as quarantine from "@geraniumkeel/daemon/quarantine/quarantine";
 import * as wire from "@geraniumkeel/wire";
@@ -33,7 +33,7 @@
   return { entry, told };
 }
 
-function endOf(number: number, fingerprints: string[]): brokenRun.RunnerEnd {
+function endOf(number: number, fingerprints: string[]): runnerCrash.RunnerEnd {
   const endedAt = common.now();
   return {
     life: `runner-${number} 1700000000000 10.0.0.1:8000`,
@@ -41,7 +41,7 @@
     service: "model",
     version: "1",
     endedAt,
-    evidence: brokenRun.EndEvidence.Refused,
+    evidence: runnerCrash.EndEvidence.Refused,
     runs: fingerprints.map((one) => ({
       request: one,
       fingerprint: one,
