--- a/packages/daemon/src/dispatch/conduct_attempt.ts
+++ b/packages/daemon/src/dispatch/conduct_attempt.ts
@@ -73,13 +73,13 @@
     case request.AttemptOutcomeKind.Unsettled: {
       if (!outcome.endedLife) return;
       const { fingerprint, service } = watched;
-      return quarantine.runnerEnded({
+      return quarantine.recordCrash({
         life: outcome.endedLife,
         runner: runner.host.name,
         service,
         version: UNKNOWN_VERSION,
         endedAt: common.now(),
-        evidence: runnerCrash.EndEvidence.Reported,
+        evidence: runnerCrash.CrashEvidence.Reported,
         runs: [{ request: identifier, fingerprint, startedAt }],
       });
     }
--- a/packages/daemon/src/dispatch/dispatcher.ts
+++ b/packages/daemon/src/dispatch/dispatcher.ts
@@ -72,7 +72,7 @@
     if (!router.exists(service)) {
       return this.#notRun(request.NotRunReason.NoRunner);
     }
-    const held = quarantine.heldMilliseconds(accepted.watched);
+    const held = quarantine.remainingMilliseconds(accepted.watched);
     if (held > 0) return this.#notRun(request.NotRunReason.Quarantined, held);
     const outcome = await this.parameters.queueOf(service).enter({
       account: accepted.account,
--- a/packages/daemon/src/entry/create_context.ts
+++ b/packages/daemon/src/entry/create_context.ts
@@ -82,7 +82,7 @@
     onMessage: (from, _link, message) =>
       parameters.onPeerMessage(from, message),
     onLinked: (to) => {
-      const suspicions = quarantine.everything();
+      const suspicions = quarantine.initialMessage();
       if (suspicions) peers.send(to, suspicions);
     },
   });
@@ -96,10 +96,10 @@
     entries: () => members.alive.map((member) => member.host),
     // Engines do not tell the version of their software.
     versionsOf: () => new Set(),
-    tell: (message, except) => peers.broadcast(message, except),
+    send: (message, except) => peers.broadcast(message, except),
     relays: true,
     // The process beside a runner tells of its end whenever a run ends with it.
-    onEndTold: () => {},
+    onReportedCrash: () => {},
     rows: quarantineRows.inBackground(rows, lifeCycle),
     logger,
     metrics,
--- a/packages/daemon/src/entry/plain_handler.ts
+++ b/packages/daemon/src/entry/plain_handler.ts
@@ -52,7 +52,7 @@
     return problems.sendProblem(response, problems.invalidInput(terms.error));
   }
   const keyed = terms.value.idempotencyKey !== undefined;
-  const suspect = context.quarantine.holdsAny(service.name);
+  const suspect = context.quarantine.hasQuarantined(service.name);
   const body = await readBody.readBeginning(
     incoming,
     // A key stands for the whole body, and so does a request in quarantine: all of
@@ -158,7 +158,7 @@
     target,
     body: work.body,
   });
-  const rest = parameters.rest && name.follow(parameters.rest);
+  const rest = parameters.rest && name.hashRest(parameters.rest);
   const configured = isRepeatable(service, work.method, work.path);
   const repeatable = configured && !terms.forbidsRepeat;
   return {
--- a/packages/daemon/src/forwarding/forwarded_request.ts
+++ b/packages/daemon/src/forwarding/forwarded_request.ts
@@ -38,7 +38,7 @@
   caller: runnerCaller.RunnerCaller;
   budgetOf: (service: string) => retryBudget.RetryBudget;
   quarantine: quarantine.Quarantine;
-  endWatch: crashDetector.EndWatch;
+  endWatch: crashDetector.CrashDetector;
   onHeard: (runner: traffic.RunnerEntry) => void;
   random: common.Random;
   metrics: common.Metrics;
@@ -179,7 +179,7 @@
     const { request, endWatch, board } = this.parameters;
     const silent = board.isSilent(runner.identifier);
     if (!attemptEnd.brokeOff(end.kind, silent)) return;
-    await endWatch.brokenOff(runner, {
+    await endWatch.investigate(runner, {
       request: request.identifier,
       fingerprint: this.fingerprint,
       startedAt: this.#attempt?.startedAt ?? common.now(),
@@ -273,7 +273,7 @@
     if (end.failure) return sink.answer(end.failure.head, end.failure.body);
     const kind = attemptEnd.refusalKind(end, this.#runs);
     const retryAfterMilliseconds =
-      quarantine.heldMilliseconds(this) ||
+      quarantine.remainingMilliseconds(this) ||
       returnTime.returnTime(this.#clock.millisecondsLeft, random);
     sink.refuse({ kind, reason: end.reason, retryAfterMilliseconds });
   }
--- a/packages/daemon/src/forwarding/forwarder.ts
+++ b/packages/daemon/src/forwarding/forwarder.ts
@@ -21,7 +21,7 @@
   caller: runnerCaller.RunnerCaller;
   budgetOf: (service: string) => retryBudget.RetryBudget;
   quarantine: quarantine.Quarantine;
-  endWatch: crashDetector.EndWatch;
+  endWatch: crashDetector.CrashDetector;
   /** Told of each answer that a runner begins. */
   onHeard: (runner: traffic.RunnerEntry) => void;
   random: common.Random;
--- a/packages/daemon/src/forwarding/forwarder_test.ts
+++ b/packages/daemon/src/forwarding/forwarder_test.ts
@@ -116,11 +116,11 @@
     },
     budgetOf: () => budget,
     quarantine: quarantineFixture.createQuarantine(),
-    endWatch: new crashDetector.EndWatch({
+    endWatch: new crashDetector.CrashDetector({
       presenceOf,
       inUse: (runner) => board.inUse(runner),
-      endOf: () => undefined,
-      onEnd: () => {},
+      crashTimeOf: () => undefined,
+      onCrash: () => {},
     }),
     onHeard: () => {},
     random: new common.Random(2),
--- a/packages/daemon/src/forwarding/left_lives.ts
+++ b/packages/daemon/src/forwarding/left_lives.ts
@@ -22,7 +22,7 @@
   }
 
   #applyTo(runner: traffic.RunnerEntry, now: number): traffic.RunnerEntry {
-    const life = traffic.lifeOf(runner);
+    const life = traffic.incarnationOf(runner);
     if (runner.leaving) {
       this.#seenAt.set(life, now);
       return runner;
--- a/packages/daemon/src/forwarding/runner_board.ts
+++ b/packages/daemon/src/forwarding/runner_board.ts
@@ -123,8 +123,8 @@
     const listed = new Set<string>();
     const disproved = new Set<string>();
     for (const entry of this.#left.apply(list.runners)) {
-      if (this.#disproved.has(traffic.lifeOf(entry))) {
-        disproved.add(traffic.lifeOf(entry));
+      if (this.#disproved.has(traffic.incarnationOf(entry))) {
+        disproved.add(traffic.incarnationOf(entry));
         continue;
       }
       listed.add(entry.identifier);
@@ -210,7 +210,7 @@
   inUse(runner: traffic.RunnerEntry): boolean {
     const entry = this.#records.get(runner.identifier)?.entry;
     if (!entry || entry.leaving) return false;
-    return traffic.lifeOf(entry) === traffic.lifeOf(runner);
+    return traffic.incarnationOf(entry) === traffic.incarnationOf(runner);
   }
 
   /** Versions of the runners of a service that take requests. */
@@ -312,9 +312,12 @@
    * seconds, and gets no more for as long.
    */
   drop(runner: traffic.RunnerEntry): void {
-    this.#disproved.add(traffic.lifeOf(runner));
+    this.#disproved.add(traffic.incarnationOf(runner));
     const record = this.#records.get(runner.identifier);
-    if (record && traffic.lifeOf(record.entry) === traffic.lifeOf(runner)) {
+    if (
+      record &&
+      traffic.incarnationOf(record.entry) === traffic.incarnationOf(runner)
+    ) {
       this.#records.delete(runner.identifier);
     }
   }
--- a/packages/daemon/src/gateway/gateway.ts
+++ b/packages/daemon/src/gateway/gateway.ts
@@ -75,8 +75,8 @@
   readonly forwarder: forwarderModule.Forwarder;
   readonly mesh: entryMesh.EntryMesh;
   readonly quarantine: quarantine.Quarantine;
-  readonly endWatch: crashDetector.EndWatch;
-  readonly endReview: crashReview.EndReview;
+  readonly endWatch: crashDetector.CrashDetector;
+  readonly endReview: crashReview.CrashReview;
   readonly #rows: quarantineRows.QuarantineRows;
   readonly #confirmation: epochConfirmation.EpochConfirmation;
   /** The latest reading of the configuration from the store. */
@@ -100,25 +100,26 @@
       host: self.host,
       entries: () => this.mesh.readyMembers().map(({ host }) => host),
       versionsOf: (service) => this.board.versionsOf(service),
-      tell: (message, except) => this.mesh.tell(message, except),
+      send: (message, except) => this.mesh.tell(message, except),
       relays: false,
-      onEndTold: (life, endedAt) => this.endWatch.toldEnd(life, endedAt),
+      onReportedCrash: (life, endedAt) =>
+        this.endWatch.applyReportedCrash(life, endedAt),
       rows: quarantineRows.inBackground(this.#rows, parameters.lifeCycle),
       logger,
       metrics,
     });
-    this.endWatch = new crashDetector.EndWatch({
+    this.endWatch = new crashDetector.CrashDetector({
       presenceOf: (runner) => caller.presenceOf(runner),
       inUse: (runner) => this.board.inUse(runner),
-      endOf: (life) => this.quarantine.endOf(life),
-      onEnd: (end) => this.quarantine.runnerEnded(end),
+      crashTimeOf: (life) => this.quarantine.crashTimeOf(life),
+      onCrash: (end) => this.quarantine.recordCrash(end),
     });
-    this.endReview = new crashReview.EndReview({
+    this.endReview = new crashReview.CrashReview({
       clock: common.now,
-      endOf: (life) => this.quarantine.endOf(life),
-      endedLives: (earliest, latest) =>
-        this.quarantine.endedLives(earliest, latest),
-      onAlive: (life) => this.quarantine.runnerHeard(life),
+      crashTimeOf: (life) => this.quarantine.crashTimeOf(life),
+      crashedIncarnations: (earliest, latest) =>
+        this.quarantine.crashedIncarnations(earliest, latest),
+      onDisproved: (life) => this.quarantine.disproveCrash(life),
     });
     this.forwarder = new forwarderModule.Forwarder({
       configuration: this.configuration,
@@ -129,7 +130,7 @@
       budgetOf: (service) => this.#budgetOf(service),
       quarantine: this.quarantine,
       endWatch: this.endWatch,
-      onHeard: (runner) => this.endReview.heard(runner),
+      onHeard: (runner) => this.endReview.reviewAnswer(runner),
       random,
       logger,
       metrics,
@@ -148,7 +149,7 @@
       onOutstanding: (host, counts) => this.board.setOthers(host, counts),
       suspicions: {
         take: (message, host) => this.quarantine.take(message, host),
-        everything: () => this.quarantine.everything(),
+        everything: () => this.quarantine.initialMessage(),
       },
       random,
       logger,
@@ -340,9 +341,9 @@
       const list = this.runners.value;
       if (list && list.version !== version) {
         this.board.update(list);
-        this.endWatch.listed(list);
+        this.endWatch.applyList(list);
       }
-      if (list) this.endReview.look(list, this.runners.age);
+      if (list) this.endReview.reviewList(list, this.runners.age);
       version = list?.version ?? version;
       await this.runners.changes.next(BOARD_LOOK_MILLISECONDS, signal);
     }
--- a/packages/daemon/src/quarantine/crash_counts_test.ts
+++ b/packages/daemon/src/quarantine/crash_counts_test.ts
@@ -4,23 +4,25 @@
 
 const test = ava.default;
 
-function run(startedAt: number, endedAt: number): crashCounts.EndedRun {
+function run(startedAt: number, endedAt: number): crashCounts.CrashedRun {
   return { startedAt, endedAt };
 }
 
 // One request sent again after each end: three runners in turn.
 test("runs that follow each other prove it with the third", (t) => {
   const runs = [run(0, 100), run(110, 200), run(4_000, 4_100)];
-  t.deepEqual(crashCounts.weigh(runs), { ends: 3, inTurn: 3 });
-  t.false(crashCounts.proves(crashCounts.weigh(runs.slice(0, 2))));
-  t.true(crashCounts.proves(crashCounts.weigh(runs)));
+  t.deepEqual(crashCounts.countCrashes(runs), { crashes: 3, sequential: 3 });
+  t.false(
+    crashCounts.reachesThreshold(crashCounts.countCrashes(runs.slice(0, 2))),
+  );
+  t.true(crashCounts.reachesThreshold(crashCounts.countCrashes(runs)));
 });
 
 // The same request sent twice at once, and twice again.
 test("runs of two copies at once prove it with the third", (t) => {
   const runs = [run(0, 100), run(20, 110), run(4_000, 4_100)];
-  t.deepEqual(crashCounts.weigh(runs), { ends: 3, inTurn: 2 });
-  t.true(crashCounts.proves(crashCounts.weigh(runs)));
+  t.deepEqual(crashCounts.countCrashes(runs), { crashes: 3, sequential: 2 });
+  t.true(crashCounts.reachesThreshold(crashCounts.countCrashes(runs)));
 });
 
 // Many hosts are lost at once while a popular request is under way at each of them.
@@ -28,8 +30,8 @@
   const runs = Array.from({ length: 50 }, (_, index) =>
     run(index, 1_000 + index),
   );
-  t.deepEqual(crashCounts.weigh(runs), { ends: 50, inTurn: 1 });
-  t.false(crashCounts.proves(crashCounts.weigh(runs)));
+  t.deepEqual(crashCounts.countCrashes(runs), { crashes: 50, sequential: 1 });
+  t.false(crashCounts.reachesThreshold(crashCounts.countCrashes(runs)));
 });
 
 test("the order in which runs are told does not matter", (t) => {
@@ -45,7 +47,10 @@
         const runs = pairs.map(([start, lasts]) => run(start, start + lasts));
         const split = runs.length === 0 ? 0 : turn % runs.length;
         const turned = [...runs.slice(split), ...runs.slice(0, split)];
-        t.deepEqual(crashCounts.weigh(turned), crashCounts.weigh(runs));
+        t.deepEqual(
+          crashCounts.countCrashes(turned),
+          crashCounts.countCrashes(runs),
+        );
       },
     ),
     { seed: 1 },
--- a/packages/daemon/src/quarantine/crash_detector.ts
+++ b/packages/daemon/src/quarantine/crash_detector.ts
@@ -19,20 +19,20 @@
 interface WatchedRunner {
   runner: traffic.RunnerEntry;
   brokenAt: number;
-  runs: runnerCrash.BrokenRun[];
+  runs: runnerCrash.InterruptedRun[];
   /** The look that is under way. */
   look: Promise<void> | undefined;
 }
 
 /** What watching runners' ends needs. */
-export interface EndWatchParameters {
+export interface CrashDetectorParameters {
   presenceOf: (runner: traffic.RunnerEntry) => Promise<common.Presence>;
   /** Whether the runner is listed and not leaving. */
   inUse: (runner: traffic.RunnerEntry) => boolean;
   /** When a life of a runner ended, if any entry saw it. */
-  endOf: (life: string) => number | undefined;
+  crashTimeOf: (life: string) => number | undefined;
   /** Told once for each run that a runner's end explains. */
-  onEnd: (end: runnerCrash.RunnerEnd) => void;
+  onCrash: (end: runnerCrash.RunnerCrash) => void;
 }
 
 /**
@@ -40,27 +40,27 @@
  * and a group that lost another rank look the same from the run; only the address of a
  * runner that ended refuses connections, and is listed under a new life later.
  */
-export class EndWatch {
+export class CrashDetector {
   readonly #watched = new Map<string, WatchedRunner>();
   #runs = 0;
 
-  constructor(readonly parameters: EndWatchParameters) {}
+  constructor(readonly parameters: CrashDetectorParameters) {}
 
   /**
    * Takes a run that broke off; resolves when it is known whether its runner ended, or
    * after a moment. A runner that is leaving ends as planned, and explains nothing.
    */
-  async brokenOff(
+  async investigate(
     runner: traffic.RunnerEntry,
-    run: runnerCrash.BrokenRun,
+    run: runnerCrash.InterruptedRun,
   ): Promise<void> {
     this.#forgetOld();
-    const life = traffic.lifeOf(runner);
-    const endedAt = this.parameters.endOf(life);
+    const life = traffic.incarnationOf(runner);
+    const endedAt = this.parameters.crashTimeOf(life);
     if (endedAt !== undefined) {
-      const evidence = runnerCrash.EndEvidence.Known;
+      const evidence = runnerCrash.CrashEvidence.Known;
       const end = { ...factsOf(runner), endedAt, evidence, runs: [run] };
-      return this.parameters.onEnd(end);
+      return this.parameters.onCrash(end);
     }
     if (!this.parameters.inUse(runner) || this.#runs >= MOST_RUNS) return;
     const watched = this.#watched.get(life) ?? this.#watch(runner);
@@ -71,25 +71,25 @@
   }
 
   /** Another entry saw a life of a runner end, some time ago. */
-  toldEnd(life: string, endedAt: number): void {
+  applyReportedCrash(life: string, endedAt: number): void {
     const watched = this.#watched.get(life);
     if (!watched) return;
-    this.#ended(watched, runnerCrash.EndEvidence.Known, endedAt);
+    this.#ended(watched, runnerCrash.CrashEvidence.Known, endedAt);
   }
 
   /** Takes a new list: a runner whose address another life has now has ended. */
-  listed(list: traffic.RunnerList): void {
+  applyList(list: traffic.RunnerList): void {
     if (this.#runs === 0) return;
     const lives = new Map(
       list.runners.map((entry) => [
         traffic.placeOf(entry),
-        traffic.lifeOf(entry),
+        traffic.incarnationOf(entry),
       ]),
     );
     for (const [life, watched] of this.#watched) {
       const present = lives.get(traffic.placeOf(watched.runner));
       if (present === undefined || present === life) continue;
-      const evidence = runnerCrash.EndEvidence.Replaced;
+      const evidence = runnerCrash.CrashEvidence.Replaced;
       this.#ended(watched, evidence, watched.brokenAt);
     }
   }
@@ -97,7 +97,7 @@
   #watch(runner: traffic.RunnerEntry): WatchedRunner {
     const brokenAt = common.now();
     const watched = { runner, brokenAt, runs: [], look: undefined };
-    this.#watched.set(traffic.lifeOf(runner), watched);
+    this.#watched.set(traffic.incarnationOf(runner), watched);
     return watched;
   }
 
@@ -106,7 +106,7 @@
     watched.look = undefined;
     switch (presence) {
       case common.Presence.Refused: {
-        const evidence = runnerCrash.EndEvidence.Refused;
+        const evidence = runnerCrash.CrashEvidence.Refused;
         return this.#ended(watched, evidence, watched.brokenAt);
       }
       case common.Presence.Listening:
@@ -120,17 +120,18 @@
 
   #ended(
     watched: WatchedRunner,
-    evidence: runnerCrash.EndEvidence,
+    evidence: runnerCrash.CrashEvidence,
     endedAt: number,
   ): void {
     const { runner, runs } = watched;
     if (!this.#forget(watched)) return;
-    this.parameters.onEnd({ ...factsOf(runner), endedAt, evidence, runs });
+    this.parameters.onCrash({ ...factsOf(runner), endedAt, evidence, runs });
   }
 
   /** Forgets a runner with its runs; false if that was done before. */
   #forget(watched: WatchedRunner): boolean {
-    if (!this.#watched.delete(traffic.lifeOf(watched.runner))) return false;
+    if (!this.#watched.delete(traffic.incarnationOf(watched.runner)))
+      return false;
     this.#runs -= watched.runs.length;
     return true;
   }
@@ -147,7 +148,12 @@
 
 function factsOf(
   runner: traffic.RunnerEntry,
-): Pick<runnerCrash.RunnerEnd, "life" | "runner" | "service" | "version"> {
+): Pick<runnerCrash.RunnerCrash, "life" | "runner" | "service" | "version"> {
   const { identifier, service, version } = runner;
-  return { life: traffic.lifeOf(runner), runner: identifier, service, version };
+  return {
+    life: traffic.incarnationOf(runner),
+    runner: identifier,
+    service,
+    version,
+  };
 }
--- a/packages/daemon/src/quarantine/crash_review.ts
+++ b/packages/daemon/src/quarantine/crash_review.ts
@@ -15,14 +15,14 @@
 const REVIEWED_MILLISECONDS = 60_000;
 
 /** What reviewing ends needs. */
-export interface EndReviewParameters {
+export interface CrashReviewParameters {
   clock: () => number;
   /** When a life of a runner ended, if any entry saw it. */
-  endOf: (life: string) => number | undefined;
+  crashTimeOf: (life: string) => number | undefined;
   /** Lives that ended from one moment to another. */
-  endedLives: (earliest: number, latest: number) => string[];
+  crashedIncarnations: (earliest: number, latest: number) => string[];
   /** Told of a life that had not ended. */
-  onAlive: (life: string) => void;
+  onDisproved: (life: string) => void;
 }
 
 /**
@@ -30,39 +30,39 @@
  * way that its connections are refused, sees what it would see of one that ended; but
  * others go on hearing that runner, and it stays listed.
  */
-export class EndReview {
+export class CrashReview {
   /** Since when the list has been as the store has it. */
   #freshSince: number;
 
-  constructor(readonly parameters: EndReviewParameters) {
+  constructor(readonly parameters: CrashReviewParameters) {
     this.#freshSince = parameters.clock();
   }
 
   /** An answer of a runner has come. */
-  heard(runner: traffic.RunnerEntry): void {
-    const life = traffic.lifeOf(runner);
-    const endedAt = this.parameters.endOf(life);
+  reviewAnswer(runner: traffic.RunnerEntry): void {
+    const life = traffic.incarnationOf(runner);
+    const endedAt = this.parameters.crashTimeOf(life);
     if (endedAt === undefined) return;
     const age = this.parameters.clock() - endedAt;
     if (age < LATE_BYTES_MILLISECONDS || age > RETURN_MILLISECONDS) return;
-    this.parameters.onAlive(life);
+    this.parameters.onDisproved(life);
   }
 
   /** Looks at the list; `proofAge` is how long a newer one may have gone unseen. */
-  look(list: traffic.RunnerList, proofAge: number): void {
+  reviewList(list: traffic.RunnerList, proofAge: number): void {
     const now = this.parameters.clock();
     if (proofAge > FRESH_MILLISECONDS) this.#freshSince = now;
     // While the store was away no registration lapsed.
     const latest = now - LISTED_MILLISECONDS;
     if (this.#freshSince > latest) return;
-    const lives = this.parameters.endedLives(
+    const lives = this.parameters.crashedIncarnations(
       now - REVIEWED_MILLISECONDS,
       latest,
     );
     if (lives.length === 0) return;
-    const listed = new Set(list.runners.map(traffic.lifeOf));
+    const listed = new Set(list.runners.map(traffic.incarnationOf));
     for (const life of lives) {
-      if (listed.has(life)) this.parameters.onAlive(life);
+      if (listed.has(life)) this.parameters.onDisproved(life);
     }
   }
 }
--- a/packages/daemon/src/quarantine/crash_review_test.ts
+++ b/packages/daemon/src/quarantine/crash_review_test.ts
@@ -9,7 +9,7 @@
 const LIST: traffic.RunnerList = { version: 1, runners: [RUNNER] };
 
 interface Scene {
-  review: crashReview.EndReview;
+  review: crashReview.CrashReview;
   alive: string[];
   /** Has time pass. */
   pass: (milliseconds: number) => void;
@@ -19,13 +19,13 @@
 function sceneOf(): Scene {
   let now = 0;
   const alive: string[] = [];
-  const life = traffic.lifeOf(RUNNER);
-  const review = new crashReview.EndReview({
+  const life = traffic.incarnationOf(RUNNER);
+  const review = new crashReview.CrashReview({
     clock: () => now,
-    endOf: (asked) => (asked === life ? 0 : undefined),
-    endedLives: (earliest, latest) =>
+    crashTimeOf: (asked) => (asked === life ? 0 : undefined),
+    crashedIncarnations: (earliest, latest) =>
       earliest <= 0 && latest >= 0 ? [life] : [],
-    onAlive: (one) => alive.push(one),
+    onDisproved: (one) => alive.push(one),
   });
   return { review, alive, pass: (milliseconds) => (now += milliseconds) };
 }
@@ -34,14 +34,14 @@
 test("a runner that answers after its end had not ended", (t) => {
   const { review, alive, pass } = sceneOf();
   pass(500);
-  review.heard(RUNNER);
-  t.deepEqual(alive, [traffic.lifeOf(RUNNER)]);
+  review.reviewAnswer(RUNNER);
+  t.deepEqual(alive, [traffic.incarnationOf(RUNNER)]);
 });
 
 test("an answer that was on its way at the end says nothing", (t) => {
   const { review, alive, pass } = sceneOf();
   pass(50);
-  review.heard(RUNNER);
+  review.reviewAnswer(RUNNER);
   t.deepEqual(alive, []);
 });
 
@@ -49,28 +49,31 @@
 test("an answer seconds later may be of another life", (t) => {
   const { review, alive, pass } = sceneOf();
   pass(3_000);
-  review.heard(RUNNER);
+  review.reviewAnswer(RUNNER);
   t.deepEqual(alive, []);
 });
 
 test("a runner that stays listed had not ended", (t) => {
   const { review, alive, pass } = sceneOf();
   pass(5_000);
-  review.look(LIST, 100);
+  review.reviewList(LIST, 100);
   t.deepEqual(alive, []);
   pass(6_000);
-  review.look({ version: 2, runners: [{ ...RUNNER, bornAt: 2_000 }] }, 100);
+  review.reviewList(
+    { version: 2, runners: [{ ...RUNNER, bornAt: 2_000 }] },
+    100,
+  );
   t.deepEqual(alive, []);
-  review.look(LIST, 100);
-  t.deepEqual(alive, [traffic.lifeOf(RUNNER)]);
+  review.reviewList(LIST, 100);
+  t.deepEqual(alive, [traffic.incarnationOf(RUNNER)]);
 });
 
 // No registration lapses while the store is away, a dead runner's neither.
 test("a list that was not kept says nothing of who is alive", (t) => {
   const { review, alive, pass } = sceneOf();
   pass(8_000);
-  review.look(LIST, 5_000);
+  review.reviewList(LIST, 5_000);
   pass(6_000);
-  review.look(LIST, 100);
+  review.reviewList(LIST, 100);
   t.deepEqual(alive, []);
 });
--- a/packages/daemon/src/quarantine/fingerprint.ts
+++ b/packages/daemon/src/quarantine/fingerprint.ts
@@ -39,7 +39,7 @@
   }
 
   /** Counts the rest of a body in, as it passes; `identity` has its beginning. */
-  async *follow(
+  async *hashRest(
     rest: AsyncIterator<Uint8Array>,
   ): AsyncGenerator<Uint8Array, void, void> {
     const hash = hashOf(this.identity);
--- a/packages/daemon/src/quarantine/quarantine.ts
+++ b/packages/daemon/src/quarantine/quarantine.ts
@@ -25,15 +25,15 @@
   /** Versions of the runners that a service has. */
   versionsOf: (service: string) => ReadonlySet<string>;
   /** Tells other entries, all but one. */
-  tell: (message: wire.Suspicions, except?: string) => void;
+  send: (message: wire.Suspicions, except?: string) => void;
   /** Whether what is new here is passed on: not all entries are linked. */
   relays: boolean;
   /** Told of each runner's end that another entry saw. */
-  onEndTold: (life: string, endedAt: number) => void;
+  onReportedCrash: (life: string, endedAt: number) => void;
   /** Held requests in the platform's table service. */
   rows: {
-    keep: (fingerprint: string, reports: suspectLedger.ReportedEnd[]) => void;
-    drop: (fingerprint: string) => void;
+    store: (fingerprint: string, reports: suspectLedger.CrashReport[]) => void;
+    remove: (fingerprint: string) => void;
   };
   logger: common.Logger;
   metrics: common.Metrics;
@@ -59,18 +59,18 @@
   }
 
   /** Whether any request for a service is held. */
-  holdsAny(service: string): boolean {
-    for (const fingerprint of this.#ledger.held) {
+  hasQuarantined(service: string): boolean {
+    for (const fingerprint of this.#ledger.quarantined) {
       if (this.#ledger.serviceOf(fingerprint) === service) return true;
     }
     return false;
   }
 
   /** Milliseconds for which a request is sent to no runner; 0 if it may be now. */
-  heldMilliseconds(request: watchedRequests.WatchedRequest): number {
-    if (this.#ledger.held.size === 0) return 0;
+  remainingMilliseconds(request: watchedRequests.WatchedRequest): number {
+    if (this.#ledger.quarantined.size === 0) return 0;
     const { fingerprint } = request;
-    if (!this.#ledger.held.has(fingerprint)) return 0;
+    if (!this.#ledger.quarantined.has(fingerprint)) return 0;
     const found = this.#standingOf(fingerprint);
     switch (found.kind) {
       case "held":
@@ -85,9 +85,10 @@
    * for as long as it is under way.
    */
   admit(request: watchedRequests.WatchedRequest): number {
-    const milliseconds = this.heldMilliseconds(request);
-    if (milliseconds > 0 || this.#ledger.held.size === 0) return milliseconds;
-    if (this.#ledger.held.has(request.fingerprint)) {
+    const milliseconds = this.remainingMilliseconds(request);
+    if (milliseconds > 0 || this.#ledger.quarantined.size === 0)
+      return milliseconds;
+    if (this.#ledger.quarantined.has(request.fingerprint)) {
       this.#watched.beginTrial(request);
     }
     return 0;
@@ -95,7 +96,7 @@
 
   /** A runner of a version answered a request whole: it does not end its runners. */
   answered(request: watchedRequests.WatchedRequest, version: string): void {
-    if (this.#ledger.empty) return;
+    if (this.#ledger.isEmpty) return;
     const wasOnTrial = this.#watched.isOnTrial(request);
     // Another version may run well what ends the runners of this one.
     this.#clear(
@@ -106,13 +107,13 @@
 
   /** Takes an operator's word that a request is sound; false if it is not held. */
   lift(fingerprint: string): boolean {
-    if (!this.#ledger.held.has(fingerprint)) return false;
+    if (!this.#ledger.quarantined.has(fingerprint)) return false;
     this.#clear(fingerprint, () => true);
     return true;
   }
 
   /** Takes what the table service kept while no entry was there. */
-  restore(reports: suspectLedger.ReportedEnd[]): void {
+  restore(reports: suspectLedger.CrashReport[]): void {
     const kept = reports.flatMap(({ suspicions }) =>
       suspicions.map(({ fingerprint }) => fingerprint),
     );
@@ -130,22 +131,23 @@
       if (now - at > RELEASED_MILLISECONDS) this.#released.delete(fingerprint);
     }
     const isMine = (fingerprint: string) => this.#isChosen(fingerprint);
-    const held = [...this.#ledger.held].filter(isMine);
+    const held = [...this.#ledger.quarantined].filter(isMine);
     const released = [...this.#released.keys()].filter(isMine);
     for (const fingerprint of held) this.#keepRow(fingerprint);
-    for (const fingerprint of released) this.parameters.rows.drop(fingerprint);
+    for (const fingerprint of released)
+      this.parameters.rows.remove(fingerprint);
     return held.length + released.length;
   }
 
   /** A runner ended while requests of this entry were under way there. */
-  runnerEnded(end: runnerCrash.RunnerEnd): void {
+  recordCrash(end: runnerCrash.RunnerCrash): void {
     this.#logEnd(end);
     const { life, runner, service, version, endedAt } = end;
-    const runs = this.#limit.take(
+    const runs = this.#limit.receive(
       end.runs,
-      (fingerprint) => this.#ledger.endsUnder(fingerprint).length,
+      (fingerprint) => this.#ledger.crashesUnder(fingerprint).length,
     );
-    const report: suspectLedger.ReportedEnd = {
+    const report: suspectLedger.CrashReport = {
       life,
       runner,
       service,
@@ -160,11 +162,11 @@
       })),
     };
     const change = this.#merge([report]);
-    if (change.news) this.#tell([report], change.held);
+    if (change.hasNewFacts) this.#tell([report], change.quarantined);
   }
 
   /** A runner was heard after its end was told: it had not ended. */
-  runnerHeard(life: string): void {
+  disproveCrash(life: string): void {
     const report = this.#ledger.reportOf(life);
     if (!report || report.disproved) return;
     const disproof = { ...report, disproved: true };
@@ -176,45 +178,47 @@
   }
 
   /** Lives of runners that ended from one moment to another. */
-  endedLives(earliest: number, latest: number): string[] {
-    return this.#ledger.endedLives(earliest, latest);
+  crashedIncarnations(earliest: number, latest: number): string[] {
+    return this.#ledger.crashedIncarnations(earliest, latest);
   }
 
   /** When a life of a runner ended, if any entry saw it. */
-  endOf(life: string): number | undefined {
-    return this.#ledger.endOf(life);
+  crashTimeOf(life: string): number | undefined {
+    return this.#ledger.crashTimeOf(life);
   }
 
   /** Takes what another entry tells. */
   take(message: wire.Suspicions, from: string): void {
     const now = common.now();
     const reports = message.ends.map((told) =>
-      suspicionsMessage.fromTold(told, now),
+      suspicionsMessage.toReport(told, now),
     );
     const change = this.#merge(reports, message.held);
-    const relayed = this.parameters.relays && change.news ? reports : [];
+    const relayed = this.parameters.relays && change.hasNewFacts ? reports : [];
     // The sender may lack the ends that others saw, and with them the proof.
-    const senderKnows = change.held.every((one) => message.held.includes(one));
-    this.#tell(relayed, change.held, senderKnows ? from : undefined);
+    const senderKnows = change.quarantined.every((one) =>
+      message.held.includes(one),
+    );
+    this.#tell(relayed, change.quarantined, senderKnows ? from : undefined);
     for (const { life, endedAt, disproved } of reports) {
-      if (!disproved) this.parameters.onEndTold(life, endedAt);
+      if (!disproved) this.parameters.onReportedCrash(life, endedAt);
     }
   }
 
   /** What weighs most, for an entry that was just linked; `undefined` if nothing. */
-  everything(): wire.Suspicions | undefined {
-    const reports = this.#ledger.weightiest(MOST_TOLD_AT_ONCE);
+  initialMessage(): wire.Suspicions | undefined {
+    const reports = this.#ledger.mostSuspected(MOST_TOLD_AT_ONCE);
     if (reports.length === 0) return undefined;
-    return suspicionsMessage.messageOf(reports, [...this.#ledger.held]);
+    return suspicionsMessage.toMessage(reports, [...this.#ledger.quarantined]);
   }
 
   /** Requests that are held, for operators. */
   cases(): quarantineCase.QuarantineCase[] {
-    return [...this.#ledger.held].map((fingerprint) =>
+    return [...this.#ledger.quarantined].map((fingerprint) =>
       quarantineCase.caseOf({
         fingerprint,
         service: this.#ledger.serviceOf(fingerprint),
-        ends: this.#ledger.endsUnder(fingerprint),
+        ends: this.#ledger.crashesUnder(fingerprint),
         found: this.#standingOf(fingerprint),
       }),
     );
@@ -225,9 +229,9 @@
     return { ...this.#ledger.size, held: this.cases() };
   }
 
-  #standingOf(fingerprint: string): trialStatus.HeldStanding {
-    return trialStatus.standingOf({
-      ends: this.#ledger.endsUnder(fingerprint),
+  #standingOf(fingerprint: string): trialStatus.TrialStatus {
+    return trialStatus.trialStatusOf({
+      ends: this.#ledger.crashesUnder(fingerprint),
       versionsInUse: this.parameters.versionsOf(
         this.#ledger.serviceOf(fingerprint),
       ),
@@ -254,7 +258,7 @@
     speaksFor: (end: { version: string }) => boolean,
   ): void {
     const reports = this.#ledger
-      .reports(fingerprint)
+      .reportsOn(fingerprint)
       .filter(speaksFor)
       .filter(({ suspicions }) => suspicions.some(({ cleared }) => !cleared))
       .map((report) => ({
@@ -270,12 +274,13 @@
   }
 
   #merge(
-    reports: suspectLedger.ReportedEnd[],
+    reports: suspectLedger.CrashReport[],
     heldElsewhere: string[] = [],
   ): suspectLedger.LedgerChange {
     const change = this.#ledger.merge(reports, common.now(), heldElsewhere);
-    for (const fingerprint of change.held) this.#onHeld(fingerprint);
-    for (const fingerprint of change.confirmed) this.#keepRow(fingerprint);
+    for (const fingerprint of change.quarantined) this.#onHeld(fingerprint);
+    for (const fingerprint of change.stillQuarantined)
+      this.#keepRow(fingerprint);
     for (const fingerprint of change.released) this.#onReleased(fingerprint);
     return change;
   }
@@ -285,7 +290,7 @@
     const { logger, metrics } = this.parameters;
     const service = this.#ledger.serviceOf(fingerprint);
     const ends = this.#ledger
-      .endsUnder(fingerprint)
+      .crashesUnder(fingerprint)
       .map(({ runner, version, seenBy }) => ({ runner, version, seenBy }));
     const code = common.EventCode.RequestQuarantined;
     logger.event(code, { fingerprint, service, ends });
@@ -296,36 +301,37 @@
 
   #keepRow(fingerprint: string): void {
     if (!this.#isChosen(fingerprint)) return;
-    const reports = this.#ledger.reports(fingerprint);
-    this.parameters.rows.keep(fingerprint, reports);
+    const reports = this.#ledger.reportsOn(fingerprint);
+    this.parameters.rows.store(fingerprint, reports);
   }
 
   /** The chosen entry may be cut off, so who found the reason drops rows as well. */
   #dropRows({ released }: suspectLedger.LedgerChange): void {
-    for (const fingerprint of released) this.parameters.rows.drop(fingerprint);
+    for (const fingerprint of released)
+      this.parameters.rows.remove(fingerprint);
   }
 
   #onReleased(fingerprint: string): void {
     this.#released.set(fingerprint, common.now());
     this.#watched.forgetTrial(fingerprint);
-    if (this.#isChosen(fingerprint)) this.parameters.rows.drop(fingerprint);
+    if (this.#isChosen(fingerprint)) this.parameters.rows.remove(fingerprint);
     const code = common.EventCode.QuarantineEnded;
     this.parameters.logger.event(code, { fingerprint });
   }
 
   /** Tells reports, and of requests that are held all that speaks against them. */
   #tell(
-    reports: suspectLedger.ReportedEnd[],
+    reports: suspectLedger.CrashReport[],
     held: string[],
     except?: string,
   ): void {
-    const proofs = held.flatMap((name) => this.#ledger.reports(name));
+    const proofs = held.flatMap((name) => this.#ledger.reportsOn(name));
     const told = [...reports, ...proofs];
     if (told.length === 0) return;
-    this.parameters.tell(suspicionsMessage.messageOf(told, held), except);
+    this.parameters.send(suspicionsMessage.toMessage(told, held), except);
   }
 
-  #logEnd(end: runnerCrash.RunnerEnd): void {
+  #logEnd(end: runnerCrash.RunnerCrash): void {
     const { runner, service, life, evidence, endedAt, runs } = end;
     this.parameters.logger.event(common.EventCode.RunnerEnded, {
       runner,
--- a/packages/daemon/src/quarantine/quarantine_case.ts
+++ b/packages/daemon/src/quarantine/quarantine_case.ts
@@ -18,11 +18,11 @@
 export function caseOf(parameters: {
   fingerprint: string;
   service: string;
-  ends: suspectLedger.EndOfRequest[];
-  found: trialStatus.HeldStanding;
+  ends: suspectLedger.CrashUnderRequest[];
+  found: trialStatus.TrialStatus;
 }): QuarantineCase {
   const { fingerprint, service, ends, found } = parameters;
-  const proving = ends[crashCounts.PROOF.ends - 1];
+  const proving = ends[crashCounts.QUARANTINE_THRESHOLD.crashes - 1];
   return {
     fingerprint,
     service,
--- a/packages/daemon/src/quarantine/quarantine_rows.ts
+++ b/packages/daemon/src/quarantine/quarantine_rows.ts
@@ -43,9 +43,9 @@
   constructor(readonly parameters: QuarantineRowsParameters) {}
 
   /** Writes what speaks against a request. */
-  async keep(
+  async store(
     fingerprint: string,
-    reports: suspectLedger.ReportedEnd[],
+    reports: suspectLedger.CrashReport[],
     signal: AbortSignal,
   ): Promise<void> {
     const value = JSON.stringify(reports.flatMap(toKept));
@@ -56,7 +56,7 @@
   }
 
   /** Removes a request that is held no more. */
-  async drop(fingerprint: string, signal: AbortSignal): Promise<void> {
+  async remove(fingerprint: string, signal: AbortSignal): Promise<void> {
     const key = PREFIX + fingerprint;
     const kind = backingServices.WriteKind.Delete;
     await this.#write({ kind, key }, signal);
@@ -65,7 +65,7 @@
   /** What the rows say, once the table service tells; `undefined` if it never did. */
   async read(
     signal: AbortSignal,
-  ): Promise<suspectLedger.ReportedEnd[] | undefined> {
+  ): Promise<suspectLedger.CrashReport[] | undefined> {
     const backOff = this.#backOff();
     while (!signal.aborted) {
       const rows = await this.parameters.table.range({
@@ -132,22 +132,22 @@
   rows: QuarantineRows,
   lifeCycle: common.LifeCycle,
 ): {
-  keep: (fingerprint: string, reports: suspectLedger.ReportedEnd[]) => void;
-  drop: (fingerprint: string) => void;
+  store: (fingerprint: string, reports: suspectLedger.CrashReport[]) => void;
+  remove: (fingerprint: string) => void;
 } {
   return {
-    keep: (fingerprint, reports) =>
+    store: (fingerprint, reports) =>
       lifeCycle.run("keep quarantine", (signal) =>
-        rows.keep(fingerprint, reports, signal),
+        rows.store(fingerprint, reports, signal),
       ),
-    drop: (fingerprint) =>
+    remove: (fingerprint) =>
       lifeCycle.run("drop quarantine", (signal) =>
-        rows.drop(fingerprint, signal),
+        rows.remove(fingerprint, signal),
       ),
   };
 }
 
-function toKept(report: suspectLedger.ReportedEnd): KeptEnd[] {
+function toKept(report: suspectLedger.CrashReport): KeptEnd[] {
   const { life, runner, service, version, seenBy, endedAt } = report;
   return report.suspicions
     .filter(({ cleared }) => !cleared && !report.disproved)
@@ -165,7 +165,7 @@
 function fromKept(
   fingerprint: string,
   kept: KeptEnd[],
-): suspectLedger.ReportedEnd[] {
+): suspectLedger.CrashReport[] {
   return kept.map(({ endedAt: timeOfDay, ranFor, ...same }) => {
     const endedAt = common.now() - (Date.now() - timeOfDay);
     const startedAt = endedAt - ranFor;
--- a/packages/daemon/src/quarantine/quarantine_test.ts
+++ b/packages/daemon/src/quarantine/quarantine_test.ts
@@ -22,10 +22,10 @@
         host,
         entries: () => hosts,
         relays,
-        tell: (message, except) => this.#tell(host, message, except),
+        send: (message, except) => this.#tell(host, message, except),
         rows: {
-          keep: (fingerprint) => this.rows.add(fingerprint),
-          drop: (fingerprint) => this.rows.delete(fingerprint),
+          store: (fingerprint) => this.rows.add(fingerprint),
+          remove: (fingerprint) => this.rows.delete(fingerprint),
         },
       });
       this.entries.set(host, one);
@@ -55,7 +55,7 @@
       [one, other],
       [other, one],
     ]) {
-      const message = this.at(from).everything();
+      const message = this.at(from).initialMessage();
       if (message) this.at(to).take(message, from);
     }
   }
@@ -78,7 +78,7 @@
 function endOf(
   name: string,
   fingerprints: string[] = ["f"],
-): runnerCrash.RunnerEnd {
+): runnerCrash.RunnerCrash {
   clock += 100;
   const startedAt = clock - 50;
   return {
@@ -87,7 +87,7 @@
     service: "s",
     version: "1",
     endedAt: clock,
-    evidence: runnerCrash.EndEvidence.Refused,
+    evidence: runnerCrash.CrashEvidence.Refused,
     runs: fingerprints.map((fingerprint) => ({
       request: `of ${fingerprint}`,
       fingerprint,
@@ -104,10 +104,10 @@
 
 test("ends that three entries saw are put together by all", (t) => {
   const network = new Network(["a", "b", "c"]);
-  network.at("a").runnerEnded(endOf("i-1"));
-  network.at("b").runnerEnded(endOf("i-2"));
+  network.at("a").recordCrash(endOf("i-1"));
+  network.at("b").recordCrash(endOf("i-2"));
   t.deepEqual(network.holding(), []);
-  network.at("c").runnerEnded(endOf("i-3"));
+  network.at("c").recordCrash(endOf("i-3"));
   t.deepEqual(network.holding(), ["a", "b", "c"]);
   t.is(network.rows.size, 1);
 });
@@ -116,9 +116,9 @@
 test("an entry that hears two others tells each what the other saw", (t) => {
   const network = new Network(["a", "b", "c"]);
   network.cut.add("a b");
-  network.at("a").runnerEnded(endOf("i-1"));
-  network.at("b").runnerEnded(endOf("i-2"));
-  network.at("a").runnerEnded(endOf("i-3"));
+  network.at("a").recordCrash(endOf("i-1"));
+  network.at("b").recordCrash(endOf("i-2"));
+  network.at("a").recordCrash(endOf("i-3"));
   t.deepEqual(network.holding(), ["a", "b", "c"]);
 });
 
@@ -126,7 +126,7 @@
   const network = new Network(["a", "b", "c"]);
   network.cut.add("a c").add("b c");
   for (const name of ["i-1", "i-2", "i-3"]) {
-    network.at("a").runnerEnded(endOf(name));
+    network.at("a").recordCrash(endOf(name));
   }
   t.deepEqual(network.holding(), ["a", "b"]);
   network.link("b", "c");
@@ -137,18 +137,18 @@
 test("where not all are linked each passes on what is new to it", (t) => {
   const network = new Network(["a", "b", "c", "d"], true);
   network.cut.add("a c").add("a d").add("b d");
-  network.at("a").runnerEnded(endOf("i-1"));
-  network.at("d").runnerEnded(endOf("i-2"));
-  network.at("b").runnerEnded(endOf("i-3"));
+  network.at("a").recordCrash(endOf("i-1"));
+  network.at("d").recordCrash(endOf("i-2"));
+  network.at("b").recordCrash(endOf("i-3"));
   t.deepEqual(network.holding(), ["a", "b", "c", "d"]);
 });
 
 test("nothing is told while no runner ends, and little when one does", (t) => {
   const network = new Network(["a", "b", "c"]);
   network.at("a").answered(requestOf(), "1");
-  t.is(network.at("a").everything(), undefined);
+  t.is(network.at("a").initialMessage(), undefined);
   t.is(network.told.length, 0);
-  network.at("a").runnerEnded(endOf("i-1"));
+  network.at("a").recordCrash(endOf("i-1"));
   t.is(network.told.length, 2);
   t.false(JSON.stringify(network.told[0].message).includes("of f"));
 });
@@ -156,10 +156,10 @@
 // All requests of a moment are under way somewhere when all hosts are lost.
 test("what is told of one second is bounded, the likeliest first", (t) => {
   const network = new Network(["a", "b"]);
-  network.at("a").runnerEnded(endOf("i-1"));
+  network.at("a").recordCrash(endOf("i-1"));
   const many = Array.from({ length: 2_000 }, (_, number) => `g-${number}`);
-  network.at("a").runnerEnded(endOf("i-2", [...many, "f"]));
-  network.at("a").runnerEnded(endOf("i-3", many));
+  network.at("a").recordCrash(endOf("i-2", [...many, "f"]));
+  network.at("a").recordCrash(endOf("i-3", many));
   const told = network.told.flatMap(({ message }) =>
     message.ends.flatMap(({ suspicions }) => suspicions),
   );
@@ -175,23 +175,23 @@
   network.at("b").watch(other);
   const unwatch = network.at("b").watch(waiting);
   for (const name of ["i-1", "i-2", "i-3"]) {
-    network.at("a").runnerEnded(endOf(name));
+    network.at("a").recordCrash(endOf(name));
   }
   t.is(stopped, 1);
   unwatch();
-  t.true(network.at("b").heldMilliseconds(waiting) > 0);
-  t.is(network.at("b").heldMilliseconds(other), 0);
+  t.true(network.at("b").remainingMilliseconds(waiting) > 0);
+  t.is(network.at("b").remainingMilliseconds(other), 0);
 });
 
 test("an operator's word lifts a quarantine everywhere, and for good", (t) => {
   const network = new Network(["a", "b", "c"]);
   const ends = ["i-1", "i-2", "i-3"].map((name) => endOf(name));
-  for (const end of ends) network.at("a").runnerEnded(end);
+  for (const end of ends) network.at("a").recordCrash(end);
   t.true(network.at("b").lift("f"));
   t.deepEqual(network.holding(), []);
   t.is(network.rows.size, 0);
   // What an entry tells late brings nothing back.
-  network.at("c").runnerEnded(ends[2]);
+  network.at("c").recordCrash(ends[2]);
   t.deepEqual(network.holding(), []);
   t.false(network.at("b").lift("f"));
 });
@@ -199,29 +199,29 @@
 test("a runner that is heard again had not ended, for any entry", (t) => {
   const network = new Network(["a", "b", "c"]);
   for (const name of ["i-1", "i-2", "i-3"]) {
-    network.at("a").runnerEnded(endOf(name));
+    network.at("a").recordCrash(endOf(name));
   }
-  network.at("c").runnerHeard("life of i-3");
+  network.at("c").disproveCrash("life of i-3");
   t.deepEqual(network.holding(), []);
 });
 
 // A caller must not lose other requests of its own, nor others theirs.
 test("only the request that was at all the ends is held", (t) => {
   const network = new Network(["a", "b"]);
-  network.at("a").runnerEnded(endOf("i-1", ["f", "g"]));
-  network.at("a").runnerEnded(endOf("i-2", ["f", "h"]));
-  network.at("a").runnerEnded(endOf("i-3", ["f", "g"]));
+  network.at("a").recordCrash(endOf("i-1", ["f", "g"]));
+  network.at("a").recordCrash(endOf("i-2", ["f", "h"]));
+  network.at("a").recordCrash(endOf("i-3", ["f", "g"]));
   t.deepEqual(network.holding("f"), ["a", "b"]);
   t.deepEqual(network.holding("g"), []);
 });
 
 test("operators see which runners ended, seen by which entries", (t) => {
   const network = new Network(["a", "b"]);
-  network.at("a").runnerEnded(endOf("i-1"));
+  network.at("a").recordCrash(endOf("i-1"));
   const seenTwice = endOf("i-2");
-  network.at("a").runnerEnded(seenTwice);
-  network.at("b").runnerEnded(seenTwice);
-  network.at("b").runnerEnded(endOf("i-3"));
+  network.at("a").recordCrash(seenTwice);
+  network.at("b").recordCrash(seenTwice);
+  network.at("b").recordCrash(endOf("i-3"));
   const [held] = network.at("a").cases();
   t.is(held.fingerprint, "f");
   t.is(held.service, "s");
@@ -260,7 +260,7 @@
   t.deepEqual(network.holding(), ["a"]);
   network.link("a", "b");
   t.deepEqual(network.holding(), ["a", "b"]);
-  network.at("b").runnerEnded(endOf("r4", ["g"]));
+  network.at("b").recordCrash(endOf("r4", ["g"]));
   t.deepEqual(network.holding(), ["a", "b"]);
 });
 
@@ -269,10 +269,13 @@
 test("the row of a held request has the ends under trials too", (t) => {
   const kept: number[] = [];
   const one = quarantineFixture.createQuarantine({
-    rows: { keep: (_, reports) => kept.push(reports.length), drop: () => {} },
+    rows: {
+      store: (_, reports) => kept.push(reports.length),
+      remove: () => {},
+    },
   });
-  for (const name of ["i-1", "i-2", "i-3"]) one.runnerEnded(endOf(name));
-  one.runnerEnded(endOf("i-4"));
-  one.runnerEnded(endOf("i-5", ["g"]));
+  for (const name of ["i-1", "i-2", "i-3"]) one.recordCrash(endOf(name));
+  one.recordCrash(endOf("i-4"));
+  one.recordCrash(endOf("i-5", ["g"]));
   t.deepEqual(kept, [3, 4]);
 });
--- a/packages/daemon/src/quarantine/runner_crash.ts
+++ b/packages/daemon/src/quarantine/runner_crash.ts
@@ -1,5 +1,5 @@
 /** A run of a request that ended without an answer, and not because its caller left. */
-export interface BrokenRun {
+export interface InterruptedRun {
   /** The caller's own name for the request. */
   request: string;
   fingerprint: string;
@@ -8,7 +8,7 @@
 }
 
 /** How it was found out that a runner has ended. */
-export enum EndEvidence {
+export enum CrashEvidence {
   /** Nothing accepts connections at its address any more. */
   Refused = "refused",
   /** Another runner, or another life of it, is listed at its address. */
@@ -20,7 +20,7 @@
 }
 
 /** A runner that ended, with runs of this entry that were under way there. */
-export interface RunnerEnd {
+export interface RunnerCrash {
   /** Names one life of the runner. */
   life: string;
   runner: string;
@@ -29,6 +29,6 @@
   version: string;
   /** When it ended, by this process's monotonic clock. */
   endedAt: number;
-  evidence: EndEvidence;
-  runs: BrokenRun[];
+  evidence: CrashEvidence;
+  runs: InterruptedRun[];
 }
--- a/packages/daemon/src/quarantine/suspect_ledger.ts
+++ b/packages/daemon/src/quarantine/suspect_ledger.ts
@@ -19,7 +19,7 @@
 }
 
 /** A runner's end and the requests that were under way there, as one entry tells it. */
-export interface ReportedEnd {
+export interface CrashReport {
   /** Names one life of the runner. */
   life: string;
   runner: string;
@@ -38,11 +38,11 @@
 /** What a report changed. */
 export interface LedgerChange {
   /** Whether anything in it was news. */
-  news: boolean;
+  hasNewFacts: boolean;
   /** Requests that are held from now on. */
-  held: string[];
+  quarantined: string[];
   /** Requests that stay held, of which more is known now. */
-  confirmed: string[];
+  stillQuarantined: string[];
   /** Requests that are held no more. */
   released: string[];
 }
@@ -52,13 +52,13 @@
   cleared: boolean;
 }
 
-interface RecordedEnd extends Omit<ReportedEnd, "seenBy" | "suspicions"> {
+interface RecordedCrash extends Omit<CrashReport, "seenBy" | "suspicions"> {
   seenBy: Set<string>;
   suspicions: Map<string, RecordedSuspicion>;
 }
 
 /** An end with the run of one request there. */
-export interface EndOfRequest extends crashCounts.EndedRun {
+export interface CrashUnderRequest extends crashCounts.CrashedRun {
   runner: string;
   version: string;
   seenBy: string[];
@@ -71,19 +71,19 @@
  * reason stays when a flood of other suspects comes.
  */
 export class SuspectLedger {
-  readonly #ends = new Map<string, RecordedEnd>();
-  readonly #endsOf = new Map<string, Set<RecordedEnd>>();
+  readonly #ends = new Map<string, RecordedCrash>();
+  readonly #endsOf = new Map<string, Set<RecordedCrash>>();
   /** Requests that are proved to end their runners. */
   readonly #held = new Set<string>();
   #suspicions = 0;
 
   /** Requests that are held. */
-  get held(): ReadonlySet<string> {
+  get quarantined(): ReadonlySet<string> {
     return this.#held;
   }
 
   /** Whether any request is under suspicion. */
-  get empty(): boolean {
+  get isEmpty(): boolean {
     return this.#endsOf.size === 0;
   }
 
@@ -97,14 +97,14 @@
   }
 
   /** When a life of a runner ended, if it is known to have. */
-  endOf(life: string): number | undefined {
+  crashTimeOf(life: string): number | undefined {
     const end = this.#ends.get(life);
     return end && !end.disproved ? end.endedAt : undefined;
   }
 
   /** Ends under which a request was under way, and for which nothing cleared it. */
-  endsUnder(fingerprint: string): EndOfRequest[] {
-    const ends: EndOfRequest[] = [];
+  crashesUnder(fingerprint: string): CrashUnderRequest[] {
+    const ends: CrashUnderRequest[] = [];
     for (const end of this.#endsOf.get(fingerprint) ?? []) {
       const suspicion = end.suspicions.get(fingerprint);
       if (end.disproved || !suspicion || suspicion.cleared) continue;
@@ -122,13 +122,13 @@
   }
 
   /** What is known of one life's end, but for the requests. */
-  reportOf(life: string): ReportedEnd | undefined {
+  reportOf(life: string): CrashReport | undefined {
     const end = this.#ends.get(life);
     return end && { ...end, seenBy: [...end.seenBy], suspicions: [] };
   }
 
   /** Ends that are not disproved, from `earliest` to `latest`. */
-  endedLives(earliest: number, latest: number): string[] {
+  crashedIncarnations(earliest: number, latest: number): string[] {
     return [...this.#ends.values()]
       .filter(({ disproved }) => !disproved)
       .filter(({ endedAt }) => endedAt >= earliest && endedAt <= latest)
@@ -136,13 +136,13 @@
   }
 
   /** Reports that tell all that is known of a request. */
-  reports(fingerprint: string): ReportedEnd[] {
+  reportsOn(fingerprint: string): CrashReport[] {
     const ends = this.#endsOf.get(fingerprint) ?? [];
     return [...ends].map((end) => reportOf(end, fingerprint));
   }
 
   /** Reports of requests that were under way at the most ends, and at the latest. */
-  weightiest(mostSuspicions: number): ReportedEnd[] {
+  mostSuspected(mostSuspicions: number): CrashReport[] {
     const pairs = [...this.#endsOf].flatMap(([fingerprint, ends]) =>
       [...ends].map((end) => ({ fingerprint, end, weight: ends.size })),
     );
@@ -150,7 +150,7 @@
       (left, right) =>
         right.weight - left.weight || right.end.endedAt - left.end.endedAt,
     );
-    const told = new Map<RecordedEnd, ReportedEnd>();
+    const told = new Map<RecordedCrash, CrashReport>();
     for (const { fingerprint, end } of pairs.slice(0, mostSuspicions)) {
       const one = reportOf(end, fingerprint);
       const known = told.get(end);
@@ -165,14 +165,14 @@
    * and all entries are to do the same.
    */
   merge(
-    reports: ReportedEnd[],
+    reports: CrashReport[],
     now: number,
     heldElsewhere: string[] = [],
   ): LedgerChange {
     const change: LedgerChange = {
-      news: false,
-      held: [],
-      confirmed: [],
+      hasNewFacts: false,
+      quarantined: [],
+      stillQuarantined: [],
       released: [],
     };
     const wanted = new Set(heldElsewhere);
@@ -181,7 +181,7 @@
       if (!isRemembered(report, now, wanted)) continue;
       for (const fingerprint of this.#take(report)) touched.add(fingerprint);
     }
-    change.news = touched.size > 0;
+    change.hasNewFacts = touched.size > 0;
     for (const fingerprint of touched) this.#judge(fingerprint, change);
     for (const fingerprint of wanted) this.#holdToo(fingerprint, change);
     this.#forget(now);
@@ -189,7 +189,7 @@
   }
 
   /** Takes one report; the requests of which it says anything new. */
-  #take(report: ReportedEnd): Set<string> {
+  #take(report: CrashReport): Set<string> {
     const touched = new Set<string>();
     const end = this.#ends.get(report.life) ?? this.#record(report);
     if (report.disproved && !end.disproved) {
@@ -204,8 +204,8 @@
     return touched;
   }
 
-  #record(report: ReportedEnd): RecordedEnd {
-    const end: RecordedEnd = {
+  #record(report: CrashReport): RecordedCrash {
+    const end: RecordedCrash = {
       ...report,
       disproved: false,
       seenBy: new Set(),
@@ -216,7 +216,7 @@
   }
 
   /** Notes a request under way at an end; whether that is news. */
-  #suspect(end: RecordedEnd, suspicion: Suspicion): boolean {
+  #suspect(end: RecordedCrash, suspicion: Suspicion): boolean {
     const { fingerprint, startedAt, cleared } = suspicion;
     const known = end.suspicions.get(fingerprint);
     if (!known) {
@@ -233,21 +233,25 @@
   }
 
   #judge(fingerprint: string, change: LedgerChange): void {
-    const ends = this.endsUnder(fingerprint);
+    const ends = this.crashesUnder(fingerprint);
     if (this.#held.has(fingerprint)) {
-      const stays = ends.length >= crashCounts.PROOF.ends;
+      const stays = ends.length >= crashCounts.QUARANTINE_THRESHOLD.crashes;
       if (!stays) this.#held.delete(fingerprint);
-      const where = stays ? change.confirmed : change.released;
+      const where = stays ? change.stillQuarantined : change.released;
       where.push(fingerprint);
       return;
     }
-    if (!crashCounts.proves(crashCounts.weigh(ends))) return;
+    if (!crashCounts.reachesThreshold(crashCounts.countCrashes(ends))) return;
     this.#holdNow(fingerprint, change);
   }
 
   #holdToo(fingerprint: string, change: LedgerChange): void {
     if (this.#held.has(fingerprint)) return;
-    if (this.endsUnder(fingerprint).length < crashCounts.PROOF.ends) return;
+    if (
+      this.crashesUnder(fingerprint).length <
+      crashCounts.QUARANTINE_THRESHOLD.crashes
+    )
+      return;
     this.#holdNow(fingerprint, change);
   }
 
@@ -257,14 +261,15 @@
     const pushedOut = this.#heldTooMany();
     if (pushedOut !== undefined) this.#held.delete(pushedOut);
     if (pushedOut === fingerprint) return;
-    change.held.push(fingerprint);
+    change.quarantined.push(fingerprint);
     if (pushedOut !== undefined) change.released.push(pushedOut);
   }
 
   #heldTooMany(): string | undefined {
     if (this.#held.size <= MOST_HELD) return undefined;
     const lastEnds = [...this.#held].map((fingerprint) => {
-      const endedAt = this.endsUnder(fingerprint).at(-1)?.endedAt ?? -Infinity;
+      const endedAt =
+        this.crashesUnder(fingerprint).at(-1)?.endedAt ?? -Infinity;
       return { fingerprint, endedAt };
     });
     lastEnds.sort((left, right) => left.endedAt - right.endedAt);
@@ -293,7 +298,7 @@
   }
 
   #dropSuspicions(
-    end: RecordedEnd,
+    end: RecordedCrash,
     mayGo: (fingerprint: string) => boolean,
   ): void {
     for (const fingerprint of end.suspicions.keys()) {
@@ -309,7 +314,7 @@
 
 /** Whether a report is young enough, or speaks against a request that is held. */
 function isRemembered(
-  { endedAt, suspicions }: ReportedEnd,
+  { endedAt, suspicions }: CrashReport,
   now: number,
   held: ReadonlySet<string>,
 ): boolean {
@@ -318,7 +323,7 @@
 }
 
 /** What is known of one request at an end. */
-function reportOf(end: RecordedEnd, fingerprint: string): ReportedEnd {
+function reportOf(end: RecordedCrash, fingerprint: string): CrashReport {
   const known = end.suspicions.get(fingerprint);
   const suspicions = known ? [{ fingerprint, ...known }] : [];
   return { ...end, seenBy: [...end.seenBy], suspicions };
--- a/packages/daemon/src/quarantine/suspect_ledger_test.ts
+++ b/packages/daemon/src/quarantine/suspect_ledger_test.ts
@@ -7,9 +7,9 @@
 /** A runner's end with one request under way for 50 ms. */
 function endAt(
   endedAt: number,
-  change: Partial<suspectLedger.ReportedEnd> = {},
+  change: Partial<suspectLedger.CrashReport> = {},
   fingerprints: string[] = ["f"],
-): suspectLedger.ReportedEnd {
+): suspectLedger.CrashReport {
   return {
     life: `life-${endedAt}`,
     runner: `i-${endedAt}`,
@@ -27,7 +27,7 @@
   };
 }
 
-function cleared(report: suspectLedger.ReportedEnd): suspectLedger.ReportedEnd {
+function cleared(report: suspectLedger.CrashReport): suspectLedger.CrashReport {
   const suspicions = report.suspicions.map((one) => ({
     ...one,
     cleared: true,
@@ -36,7 +36,7 @@
 }
 
 function ledgerOf(
-  reports: suspectLedger.ReportedEnd[],
+  reports: suspectLedger.CrashReport[],
 ): suspectLedger.SuspectLedger {
   const ledger = new suspectLedger.SuspectLedger();
   for (const report of reports) ledger.merge([report], 1_000);
@@ -45,9 +45,9 @@
 
 test("three ends in turn hold a request", (t) => {
   const ledger = ledgerOf([endAt(100), endAt(200)]);
-  t.deepEqual([...ledger.held], []);
-  t.deepEqual(ledger.merge([endAt(300)], 1_000).held, ["f"]);
-  t.true(ledger.held.has("f"));
+  t.deepEqual([...ledger.quarantined], []);
+  t.deepEqual(ledger.merge([endAt(300)], 1_000).quarantined, ["f"]);
+  t.true(ledger.quarantined.has("f"));
 });
 
 // One crash that several entries see must not count as several.
@@ -58,27 +58,27 @@
     endAt(100),
     endAt(200),
   ]);
-  t.deepEqual([...ledger.held], []);
-  t.is(ledger.endsUnder("f").length, 2);
-  t.deepEqual(ledger.endsUnder("f")[0].seenBy, ["entry-1", "entry-2"]);
-  t.false(ledger.merge([endAt(200)], 1_000).news);
+  t.deepEqual([...ledger.quarantined], []);
+  t.is(ledger.crashesUnder("f").length, 2);
+  t.deepEqual(ledger.crashesUnder("f")[0].seenBy, ["entry-1", "entry-2"]);
+  t.false(ledger.merge([endAt(200)], 1_000).hasNewFacts);
 });
 
 // A popular request is under way at ends that have nothing to do with it.
 test("a whole answer speaks for a request, whenever it is told", (t) => {
   const ends = [endAt(100), endAt(200)];
   const spoken = ledgerOf([...ends, ...ends.map(cleared), endAt(300)]);
-  t.deepEqual([...spoken.held], []);
-  t.is(spoken.endsUnder("f").length, 1);
+  t.deepEqual([...spoken.quarantined], []);
+  t.is(spoken.crashesUnder("f").length, 1);
   const before = ledgerOf([...ends.map(cleared), ...ends, endAt(300)]);
-  t.is(before.endsUnder("f").length, 1);
+  t.is(before.crashesUnder("f").length, 1);
 });
 
 test("a held request is released when its ends are cleared or disproved", (t) => {
   const ends = [endAt(100), endAt(200), endAt(300)];
   const ledger = ledgerOf(ends);
   t.deepEqual(ledger.merge([cleared(ends[0])], 1_000).released, ["f"]);
-  t.deepEqual([...ledger.held], []);
+  t.deepEqual([...ledger.quarantined], []);
   const disproof = endAt(300, { disproved: true }, []);
   t.deepEqual(ledgerOf(ends).merge([disproof], 1_000).released, ["f"]);
 });
@@ -97,10 +97,13 @@
       fastCheck.subarray(reports),
       (order, again) => {
         const ledger = ledgerOf([...order, ...again]);
-        t.deepEqual([...ledger.held].sort(), [...expected.held].sort());
+        t.deepEqual(
+          [...ledger.quarantined].sort(),
+          [...expected.quarantined].sort(),
+        );
         for (const name of ["f", "h", "g-100"]) {
           const withOrderedHosts = (of: suspectLedger.SuspectLedger) =>
-            of.endsUnder(name).map((end) => ({
+            of.crashesUnder(name).map((end) => ({
               ...end,
               seenBy: [...end.seenBy].sort(),
             }));
@@ -116,10 +119,10 @@
 test("what another entry holds is held, if its ends are known", (t) => {
   const overlapping = [endAt(100), endAt(101), endAt(102)];
   const ledger = ledgerOf(overlapping);
-  t.deepEqual([...ledger.held], []);
-  t.deepEqual(ledger.merge([], 1_000, ["f"]).held, ["f"]);
-  t.true(ledger.held.has("f"));
-  t.deepEqual(ledgerOf([endAt(100)]).merge([], 1_000, ["f"]).held, []);
+  t.deepEqual([...ledger.quarantined], []);
+  t.deepEqual(ledger.merge([], 1_000, ["f"]).quarantined, ["f"]);
+  t.true(ledger.quarantined.has("f"));
+  t.deepEqual(ledgerOf([endAt(100)]).merge([], 1_000, ["f"]).quarantined, []);
 });
 
 // Everything under way is a suspect when all hosts are lost, again and again.
@@ -129,8 +132,8 @@
     const names = Array.from({ length: 500 }, (_, one) => `g-${number}-${one}`);
     ledger.merge([endAt(1_000 + number, {}, names)], 2_000);
   }
-  t.true(ledger.held.has("f"));
-  t.is(ledger.endsUnder("f").length, 3);
+  t.true(ledger.quarantined.has("f"));
+  t.is(ledger.crashesUnder("f").length, 3);
   t.true(ledger.size.suspicions <= 20_000);
 });
 
@@ -140,7 +143,7 @@
     const names = Array.from({ length: 500 }, (_, one) => `g-${number}-${one}`);
     ledger.merge([endAt(1_000 + number, {}, names)], 2_000);
   }
-  t.is(ledger.endsUnder("f").length, 2);
+  t.is(ledger.crashesUnder("f").length, 2);
 });
 
 test("ends are forgotten after a day, but for those of held requests", (t) => {
@@ -152,9 +155,9 @@
     endAt(400, {}, ["g"]),
   ]);
   ledger.merge([endAt(day + 1_000, {}, ["h"])], day + 1_000);
-  t.is(ledger.endsUnder("g").length, 0);
-  t.true(ledger.held.has("f"));
-  t.is(ledger.endsUnder("f").length, 3);
+  t.is(ledger.crashesUnder("g").length, 0);
+  t.true(ledger.quarantined.has("f"));
+  t.is(ledger.crashesUnder("f").length, 3);
 });
 
 // Of requests that ended runners once, most are never sent again; they must not take
@@ -167,14 +170,14 @@
     for (const end of [1, 2, 3])
       endUnder(`g-${number}`, 1_000 * number + 100 * end);
   }
-  t.is(ledger.held.size, 1_000);
+  t.is(ledger.quarantined.size, 1_000);
   const now = 1_000 * 1_000;
   endUnder("f", now + 100);
   endUnder("f", now + 200);
   const change = endUnder("f", now + 300);
-  t.deepEqual(change.held, ["f"]);
+  t.deepEqual(change.quarantined, ["f"]);
   t.deepEqual(change.released, ["g-0"]);
-  t.true(ledger.held.has("f"));
-  t.deepEqual(ledger.merge([], now, ["g-0"]).held, []);
-  t.is(ledger.held.size, 1_000);
+  t.true(ledger.quarantined.has("f"));
+  t.deepEqual(ledger.merge([], now, ["g-0"]).quarantined, []);
+  t.is(ledger.quarantined.size, 1_000);
 });
--- a/packages/daemon/src/quarantine/suspicion_limit.ts
+++ b/packages/daemon/src/quarantine/suspicion_limit.ts
@@ -14,10 +14,10 @@
   #suspected = 0;
 
   /** As many of the runs as may be told of now, those of most weight first. */
-  take(
-    runs: runnerCrash.BrokenRun[],
+  receive(
+    runs: runnerCrash.InterruptedRun[],
     weightOf: (fingerprint: string) => number,
-  ): runnerCrash.BrokenRun[] {
+  ): runnerCrash.InterruptedRun[] {
     const now = common.now();
     if (now - this.#since > SECOND_MILLISECONDS) {
       this.#since = now;
--- a/packages/daemon/src/quarantine/suspicions_message.ts
+++ b/packages/daemon/src/quarantine/suspicions_message.ts
@@ -3,8 +3,8 @@
 import type * as suspectLedger from "./suspect_ledger.ts";
 
 /** What entries tell each other of ends, and of the requests that they hold. */
-export function messageOf(
-  reports: suspectLedger.ReportedEnd[],
+export function toMessage(
+  reports: suspectLedger.CrashReport[],
   held: string[],
 ): wire.Suspicions {
   const now = common.now();
@@ -16,7 +16,10 @@
 }
 
 /** A report as it is told: no two clocks are compared, so times travel as ages. */
-function toTold(report: suspectLedger.ReportedEnd, now: number): wire.ToldEnd {
+function toTold(
+  report: suspectLedger.CrashReport,
+  now: number,
+): wire.ReportedCrash {
   const { endedAt, suspicions, ...same } = report;
   return {
     ...same,
@@ -30,10 +33,10 @@
 }
 
 /** A report as it was told, by this process's clock. */
-export function fromTold(
-  told: wire.ToldEnd,
+export function toReport(
+  told: wire.ReportedCrash,
   now: number,
-): suspectLedger.ReportedEnd {
+): suspectLedger.CrashReport {
   const { age, suspicions, ...same } = told;
   return {
     ...same,
--- a/packages/daemon/src/quarantine/trial_status.ts
+++ b/packages/daemon/src/quarantine/trial_status.ts
@@ -14,7 +14,7 @@
 const HOLD_SPANS = 3;
 
 /** Whether a held request may be tried again. */
-export type HeldStanding =
+export type TrialStatus =
   | { kind: "held"; millisecondsLeft: number }
   /** One run at a time may show whether it is mended. */
   | { kind: "on-trial" };
@@ -24,12 +24,12 @@
  * trial that fails, or once no runner of its service has a version under which runners
  * ended.
  */
-export function standingOf(parameters: {
-  ends: suspectLedger.EndOfRequest[];
+export function trialStatusOf(parameters: {
+  ends: suspectLedger.CrashUnderRequest[];
   /** Versions of the runners that the service has now; empty if it has none. */
   versionsInUse: ReadonlySet<string>;
   now: number;
-}): HeldStanding {
+}): TrialStatus {
   const { ends, versionsInUse, now } = parameters;
   if (isOutOfUse(ends, versionsInUse)) return { kind: "on-trial" };
   const last = ends.at(-1)?.endedAt ?? now;
@@ -38,7 +38,7 @@
   return { kind: "held", millisecondsLeft };
 }
 
-function holdOf(ends: suspectLedger.EndOfRequest[]): number {
+function holdOf(ends: suspectLedger.CrashUnderRequest[]): number {
   const [first, , proving] = ends;
   const last = ends.at(-1);
   if (!last || !proving) return FIRST_HOLD_MILLISECONDS;
@@ -49,7 +49,7 @@
 }
 
 function isOutOfUse(
-  ends: suspectLedger.EndOfRequest[],
+  ends: suspectLedger.CrashUnderRequest[],
   versionsInUse: ReadonlySet<string>,
 ): boolean {
   if (versionsInUse.size === 0) return false;
--- a/packages/daemon/src/quarantine/trial_status_test.ts
+++ b/packages/daemon/src/quarantine/trial_status_test.ts
@@ -6,7 +6,10 @@
 
 const HOUR = 3_600_000;
 
-function ends(times: number[], version = "1"): suspectLedger.EndOfRequest[] {
+function ends(
+  times: number[],
+  version = "1",
+): suspectLedger.CrashUnderRequest[] {
   return times.map((endedAt) => ({
     runner: `i-${endedAt}`,
     version,
@@ -21,9 +24,9 @@
   times: number[],
   versions: string[] = ["1"],
   version = "1",
-): trialStatus.HeldStanding["kind"] {
+): trialStatus.TrialStatus["kind"] {
   const versionsInUse = new Set(versions);
-  return trialStatus.standingOf({
+  return trialStatus.trialStatusOf({
     ends: ends(times, version),
     versionsInUse,
     now,
--- a/packages/stand_ins/src/measure/measure_quarantine.ts
+++ b/packages/stand_ins/src/measure/measure_quarantine.ts
@@ -11,14 +11,14 @@
 const RUNNERS = 16;
 
 /** Rules of evidence that are compared. */
-const PROOFS: crashCounts.Evidence[] = [
-  { ends: 2, inTurn: 1 },
-  { ends: 2, inTurn: 2 },
-  { ends: 3, inTurn: 1 },
-  { ends: 3, inTurn: 2 },
-  { ends: 3, inTurn: 3 },
-  { ends: 4, inTurn: 2 },
-  { ends: 4, inTurn: 4 },
+const PROOFS: crashCounts.CrashCounts[] = [
+  { crashes: 2, sequential: 1 },
+  { crashes: 2, sequential: 2 },
+  { crashes: 3, sequential: 1 },
+  { crashes: 3, sequential: 2 },
+  { crashes: 3, sequential: 3 },
+  { crashes: 4, sequential: 2 },
+  { crashes: 4, sequential: 4 },
 ];
 
 type OtherEnds = world.WorldShape["otherEnds"];
@@ -79,7 +79,7 @@
 }
 
 async function judgeInnocents(
-  proof: crashCounts.Evidence,
+  proof: crashCounts.CrashCounts,
 ): Promise<Record<string, unknown>> {
   const figures: Record<string, unknown> = {};
   for (const [grouping, shape] of Object.entries(GROUPINGS)) {
@@ -109,7 +109,7 @@
 }
 
 async function judgeEndings(
-  proof: crashCounts.Evidence,
+  proof: crashCounts.CrashCounts,
 ): Promise<Record<string, unknown>> {
   const figures: Record<string, unknown> = {};
   for (const [grouping, shape] of Object.entries(GROUPINGS)) {
@@ -137,7 +137,7 @@
 export async function measureQuarantine(): Promise<object> {
   const rules: Record<string, unknown> = {};
   for (const proof of PROOFS) {
-    rules[`${proof.ends} ends, ${proof.inTurn} in turn`] = {
+    rules[`${proof.crashes} ends, ${proof.sequential} in turn`] = {
       innocents: await judgeInnocents(proof),
       endings: await judgeEndings(proof),
     };
--- a/packages/stand_ins/src/measure/quarantine_world/quarantine_cost.ts
+++ b/packages/stand_ins/src/measure/quarantine_world/quarantine_cost.ts
@@ -23,17 +23,20 @@
     host: "entry-1",
     entries: () => ["entry-1"],
     versionsOf: () => new Set(["1"]),
-    tell: (message) => told.push(message),
+    send: (message) => told.push(message),
     relays: false,
-    onEndTold: () => {},
-    rows: { keep: () => {}, drop: () => {} },
+    onReportedCrash: () => {},
+    rows: { store: () => {}, remove: () => {} },
     logger: { event: () => {} },
     metrics: common.discardMetrics(),
   });
   return { entry, told };
 }
 
-function endOf(number: number, fingerprints: string[]): runnerCrash.RunnerEnd {
+function endOf(
+  number: number,
+  fingerprints: string[],
+): runnerCrash.RunnerCrash {
   const endedAt = common.now();
   return {
     life: `runner-${number} 1700000000000 10.0.0.1:8000`,
@@ -41,7 +44,7 @@
     service: "model",
     version: "1",
     endedAt,
-    evidence: runnerCrash.EndEvidence.Refused,
+    evidence: runnerCrash.CrashEvidence.Refused,
     runs: fingerprints.map((one) => ({
       request: one,
       fingerprint: one,
@@ -86,7 +89,7 @@
   const calm = createQuarantine();
   const holding = createQuarantine();
   for (const number of [1, 2, 3]) {
-    holding.entry.runnerEnded(endOf(number, [nameOf("held")]));
+    holding.entry.recordCrash(endOf(number, [nameOf("held")]));
   }
   const requestMicroseconds = {
     calm: timeOf(REQUESTS, pass(calm.entry)),
@@ -111,7 +114,7 @@
   const names = Array.from({ length: SUSPECTS_OF_AN_END }, (_, one) =>
     nameOf(`first ${one}`),
   );
-  entry.runnerEnded(endOf(0, names));
+  entry.recordCrash(endOf(0, names));
   const endBytes = wire.encode(told[0]).byteLength;
   const before = usedHeap.usedHeap();
   // Told by another entry: what one entry tells in a second is bounded.
@@ -131,7 +134,7 @@
   }
   const suspicions = ENDS * SUSPECTS_OF_AN_END;
   const bytes = usedHeap.usedHeap() - before;
-  const toNewEntry = entry.everything();
+  const toNewEntry = entry.initialMessage();
   return {
     endBytes,
     suspicionBytes: Math.round(bytes / suspicions),
--- a/packages/stand_ins/src/measure/quarantine_world/world.ts
+++ b/packages/stand_ins/src/measure/quarantine_world/world.ts
@@ -14,7 +14,7 @@
   ending: { copies: number; pause: number } | undefined;
   /** When runners end for other reasons. */
   otherEnds: (random: common.Random) => { at: number; runners: number }[];
-  proof: crashCounts.Evidence;
+  proof: crashCounts.CrashCounts;
   duration: number;
   seed: number;
 }
@@ -68,7 +68,7 @@
   readonly #time = new virtualTime.VirtualTime();
   readonly #random: common.Random;
   readonly #runners: Runner[];
-  readonly #blamed = new Map<string, crashCounts.EndedRun[]>();
+  readonly #blamed = new Map<string, crashCounts.CrashedRun[]>();
   readonly #held = new Map<string, number>();
   readonly #result: WorldResult = {
     heldSingles: 0,
@@ -173,8 +173,8 @@
       }
       names.delete(name);
       this.#blamed.set(name, runs);
-      const found = crashCounts.weigh(runs);
-      if (!crashCounts.proves(found, this.shape.proof)) continue;
+      const found = crashCounts.countCrashes(runs);
+      if (!crashCounts.reachesThreshold(found, this.shape.proof)) continue;
       this.#time.schedule(this.#now + TOLD_AFTER, () => this.#hold(name));
     }
     this.#breakOff(runner);
@@ -204,7 +204,13 @@
     if (this.#held.has(name)) return;
     // A whole answer may have spoken for it meanwhile.
     const runs = this.#blamed.get(name) ?? [];
-    if (!crashCounts.proves(crashCounts.weigh(runs), this.shape.proof)) return;
+    if (
+      !crashCounts.reachesThreshold(
+        crashCounts.countCrashes(runs),
+        this.shape.proof,
+      )
+    )
+      return;
     this.#held.set(name, this.#now);
     if (name !== POPULAR && name !== ENDING) this.#result.heldSingles++;
   }
--- a/packages/traffic/src/registered_runners.ts
+++ b/packages/traffic/src/registered_runners.ts
@@ -95,12 +95,15 @@
   #end(identifier: string, listed: ListedLife, now: number): void {
     const { runner, sequence } = listed.registration;
     this.#listed.delete(identifier);
-    this.#past.set(runnerEntry.lifeOf(runner), { sequence, goneAt: now });
+    this.#past.set(runnerEntry.incarnationOf(runner), {
+      sequence,
+      goneAt: now,
+    });
   }
 
   /** Whether a row tells no more than was known of a runner that is gone since. */
   #isOfPast({ runner, sequence }: Registration): boolean {
-    const past = this.#past.get(runnerEntry.lifeOf(runner));
+    const past = this.#past.get(runnerEntry.incarnationOf(runner));
     return past !== undefined && sequence <= past.sequence;
   }
 
--- a/packages/traffic/src/runner_entry.ts
+++ b/packages/traffic/src/runner_entry.ts
@@ -26,7 +26,7 @@
 }
 
 /** Name of one life of a runner at one address. */
-export function lifeOf(runner: RunnerEntry): string {
+export function incarnationOf(runner: RunnerEntry): string {
   const { identifier, bornAt, address, port } = runner;
   return `${identifier} ${bornAt} ${address}:${port}`;
 }
--- a/packages/wire/src/suspicion.ts
+++ b/packages/wire/src/suspicion.ts
@@ -1,7 +1,7 @@
 import type * as messageKind from "./message_kind.ts";
 
 /** A request that was under way when a runner ended. */
-export interface ToldSuspicion {
+export interface ReportedSuspicion {
   fingerprint: string;
   /** Milliseconds since it was sent there, at the time of telling. */
   startedAge: number;
@@ -10,7 +10,7 @@
 }
 
 /** A runner's end as entries tell it each other; merging it twice changes nothing. */
-export interface ToldEnd {
+export interface ReportedCrash {
   /** Names one life of the runner. */
   life: string;
   runner: string;
@@ -23,13 +23,13 @@
   seenBy: string[];
   /** The runner was heard again: it had not ended. */
   disproved: boolean;
-  suspicions: ToldSuspicion[];
+  suspicions: ReportedSuspicion[];
 }
 
 /** What an entry tells others of requests that may end their runners. */
 export interface Suspicions {
   kind: messageKind.MessageKind.Suspicions;
-  ends: ToldEnd[];
+  ends: ReportedCrash[];
   /** Fingerprints of requests that the sender holds. */
   held: string[];
 }
