--- a/packages/daemon/src/entry/start_entry.ts
+++ b/packages/daemon/src/entry/start_entry.ts
@@ -57,7 +57,7 @@
     onPeerMessage: (host, message) => {
       context.limits.handle(host, message);
       if (message.kind === wire.MessageKind.Suspicions) {
-        context.quarantine.take(message, host);
+        context.quarantine.receive(message, host);
       }
       remote.handle(host, message);
     },
--- a/packages/daemon/src/gateway/gateway.ts
+++ b/packages/daemon/src/gateway/gateway.ts
@@ -148,7 +148,7 @@
       outstanding: () => this.board.ownCounts(),
       onOutstanding: (host, counts) => this.board.setOthers(host, counts),
       suspicions: {
-        take: (message, host) => this.quarantine.take(message, host),
+        take: (message, host) => this.quarantine.receive(message, host),
         everything: () => this.quarantine.initialMessage(),
       },
       random,
--- a/packages/daemon/src/quarantine/crash_counts.ts
+++ b/packages/daemon/src/quarantine/crash_counts.ts
@@ -26,14 +26,14 @@
 /** Weighs runs of one request, none of which has been followed by a whole answer. */
 export function countCrashes(runs: Iterable<CrashedRun>): CrashCounts {
   const inOrder = [...runs].sort((left, right) => left.endedAt - right.endedAt);
-  let inTurn = 0;
-  let lastEnd = -Infinity;
+  let sequential = 0;
+  let lastCrashAt = -Infinity;
   for (const { startedAt, endedAt } of inOrder) {
-    if (startedAt < lastEnd) continue;
-    inTurn++;
-    lastEnd = endedAt;
+    if (startedAt < lastCrashAt) continue;
+    sequential++;
+    lastCrashAt = endedAt;
   }
-  return { crashes: inOrder.length, sequential: inTurn };
+  return { crashes: inOrder.length, sequential };
 }
 
 /** Whether the evidence proves that the request ends the runners that run it. */
--- a/packages/daemon/src/quarantine/crash_detector.ts
+++ b/packages/daemon/src/quarantine/crash_detector.ts
@@ -6,22 +6,22 @@
  * Time for which a run that broke off waits to be explained, in milliseconds. A runner
  * that fell silent is listed under a new life some seconds later.
  */
-const KEPT_MILLISECONDS = 30_000;
+const RUN_RETENTION_MILLISECONDS = 30_000;
 /**
  * Longest time for which the next attempt of a request waits for the look at the
  * runner of the last one, in milliseconds. It takes as long as making a connection.
  */
-const LONGEST_WAIT_MILLISECONDS = 60;
+const MAX_PROBE_WAIT_MILLISECONDS = 60;
 /** Runs that wait to be explained, at most. */
-const MOST_RUNS = 10_000;
+const MAX_RETAINED_RUNS = 10_000;
 
 /** One life of a runner at which runs broke off that are not explained. */
-interface WatchedRunner {
+interface Investigation {
   runner: traffic.RunnerEntry;
-  brokenAt: number;
+  interruptedAt: number;
   runs: runnerCrash.InterruptedRun[];
   /** The look that is under way. */
-  look: Promise<void> | undefined;
+  probe: Promise<void> | undefined;
 }
 
 /** What watching runners' ends needs. */
@@ -30,9 +30,9 @@
   /** Whether the runner is listed and not leaving. */
   inUse: (runner: traffic.RunnerEntry) => boolean;
   /** When a life of a runner ended, if any entry saw it. */
-  crashTimeOf: (life: string) => number | undefined;
+  crashTimeOf: (incarnation: string) => number | undefined;
   /** Told once for each run that a runner's end explains. */
-  onCrash: (end: runnerCrash.RunnerCrash) => void;
+  onCrash: (crash: runnerCrash.RunnerCrash) => void;
 }
 
 /**
@@ -41,8 +41,8 @@
  * runner that ended refuses connections, and is listed under a new life later.
  */
 export class CrashDetector {
-  readonly #watched = new Map<string, WatchedRunner>();
-  #runs = 0;
+  readonly #investigations = new Map<string, Investigation>();
+  #runCount = 0;
 
   constructor(readonly parameters: CrashDetectorParameters) {}
 
@@ -54,63 +54,71 @@
     runner: traffic.RunnerEntry,
     run: runnerCrash.InterruptedRun,
   ): Promise<void> {
-    this.#forgetOld();
-    const life = traffic.incarnationOf(runner);
-    const endedAt = this.parameters.crashTimeOf(life);
+    this.#closeExpired();
+    const incarnation = traffic.incarnationOf(runner);
+    const endedAt = this.parameters.crashTimeOf(incarnation);
     if (endedAt !== undefined) {
       const evidence = runnerCrash.CrashEvidence.Known;
-      const end = { ...factsOf(runner), endedAt, evidence, runs: [run] };
-      return this.parameters.onCrash(end);
+      const crash = { ...identityOf(runner), endedAt, evidence, runs: [run] };
+      return this.parameters.onCrash(crash);
     }
-    if (!this.parameters.inUse(runner) || this.#runs >= MOST_RUNS) return;
-    const watched = this.#watched.get(life) ?? this.#watch(runner);
-    watched.runs.push(run);
-    this.#runs++;
-    watched.look ??= this.#look(watched);
-    await common.withTimeout(watched.look, LONGEST_WAIT_MILLISECONDS);
+    if (!this.parameters.inUse(runner) || this.#runCount >= MAX_RETAINED_RUNS)
+      return;
+    const investigation =
+      this.#investigations.get(incarnation) ?? this.#openInvestigation(runner);
+    investigation.runs.push(run);
+    this.#runCount++;
+    investigation.probe ??= this.#probe(investigation);
+    await common.withTimeout(investigation.probe, MAX_PROBE_WAIT_MILLISECONDS);
   }
 
   /** Another entry saw a life of a runner end, some time ago. */
-  applyReportedCrash(life: string, endedAt: number): void {
-    const watched = this.#watched.get(life);
-    if (!watched) return;
-    this.#ended(watched, runnerCrash.CrashEvidence.Known, endedAt);
+  applyReportedCrash(incarnation: string, endedAt: number): void {
+    const investigation = this.#investigations.get(incarnation);
+    if (!investigation) return;
+    this.#confirmCrash(investigation, runnerCrash.CrashEvidence.Known, endedAt);
   }
 
   /** Takes a new list: a runner whose address another life has now has ended. */
   applyList(list: traffic.RunnerList): void {
-    if (this.#runs === 0) return;
-    const lives = new Map(
+    if (this.#runCount === 0) return;
+    const incarnationByPlace = new Map(
       list.runners.map((entry) => [
         traffic.placeOf(entry),
         traffic.incarnationOf(entry),
       ]),
     );
-    for (const [life, watched] of this.#watched) {
-      const present = lives.get(traffic.placeOf(watched.runner));
-      if (present === undefined || present === life) continue;
+    for (const [incarnation, investigation] of this.#investigations) {
+      const listed = incarnationByPlace.get(
+        traffic.placeOf(investigation.runner),
+      );
+      if (listed === undefined || listed === incarnation) continue;
       const evidence = runnerCrash.CrashEvidence.Replaced;
-      this.#ended(watched, evidence, watched.brokenAt);
+      this.#confirmCrash(investigation, evidence, investigation.interruptedAt);
     }
   }
 
-  #watch(runner: traffic.RunnerEntry): WatchedRunner {
-    const brokenAt = common.now();
-    const watched = { runner, brokenAt, runs: [], look: undefined };
-    this.#watched.set(traffic.incarnationOf(runner), watched);
-    return watched;
+  #openInvestigation(runner: traffic.RunnerEntry): Investigation {
+    const interruptedAt = common.now();
+    const investigation = { runner, interruptedAt, runs: [], probe: undefined };
+    this.#investigations.set(traffic.incarnationOf(runner), investigation);
+    return investigation;
   }
 
-  async #look(watched: WatchedRunner): Promise<void> {
-    const presence = await this.parameters.presenceOf(watched.runner);
-    watched.look = undefined;
+  async #probe(investigation: Investigation): Promise<void> {
+    const presence = await this.parameters.presenceOf(investigation.runner);
+    investigation.probe = undefined;
     switch (presence) {
       case common.Presence.Refused: {
         const evidence = runnerCrash.CrashEvidence.Refused;
-        return this.#ended(watched, evidence, watched.brokenAt);
+        return this.#confirmCrash(
+          investigation,
+          evidence,
+          investigation.interruptedAt,
+        );
       }
       case common.Presence.Listening:
-        this.#forget(watched);
+        this.#close(investigation);
         return;
       case common.Presence.Silent:
         // A host that is cut off or has lost power: the list will tell.
@@ -118,35 +126,37 @@
     }
   }
 
-  #ended(
-    watched: WatchedRunner,
+  #confirmCrash(
+    investigation: Investigation,
     evidence: runnerCrash.CrashEvidence,
     endedAt: number,
   ): void {
-    const { runner, runs } = watched;
-    if (!this.#forget(watched)) return;
-    this.parameters.onCrash({ ...factsOf(runner), endedAt, evidence, runs });
+    const { runner, runs } = investigation;
+    if (!this.#close(investigation)) return;
+    this.parameters.onCrash({ ...identityOf(runner), endedAt, evidence, runs });
   }
 
   /** Forgets a runner with its runs; false if that was done before. */
-  #forget(watched: WatchedRunner): boolean {
-    if (!this.#watched.delete(traffic.incarnationOf(watched.runner)))
+  #close(investigation: Investigation): boolean {
+    if (
+      !this.#investigations.delete(traffic.incarnationOf(investigation.runner))
+    )
       return false;
-    this.#runs -= watched.runs.length;
+    this.#runCount -= investigation.runs.length;
     return true;
   }
 
-  #forgetOld(): void {
-    const oldest = common.now() - KEPT_MILLISECONDS;
-    for (const watched of this.#watched.values()) {
+  #closeExpired(): void {
+    const oldest = common.now() - RUN_RETENTION_MILLISECONDS;
+    for (const investigation of this.#investigations.values()) {
       // In order of time: what follows is younger.
-      if (watched.brokenAt > oldest) return;
-      this.#forget(watched);
+      if (investigation.interruptedAt > oldest) return;
+      this.#close(investigation);
     }
   }
 }
 
-function factsOf(
+function identityOf(
   runner: traffic.RunnerEntry,
 ): Pick<runnerCrash.RunnerCrash, "life" | "runner" | "service" | "version"> {
   const { identifier, service, version } = runner;
--- a/packages/daemon/src/quarantine/fingerprint.ts
+++ b/packages/daemon/src/quarantine/fingerprint.ts
@@ -12,14 +12,14 @@
 }
 
 /** Bytes of a hash that are kept: no caller can find two requests that share them. */
-const KEPT_BYTES = 16;
+const FINGERPRINT_BYTES = 16;
 
 /**
  * Name of a request by what it asks for, 22 characters. It holds the account, so that
  * nobody can have requests of another account taken for bad ones.
  */
 export function fingerprintOf(identity: RequestIdentity): string {
-  return nameOf(hashOf(identity));
+  return digestOf(startHash(identity));
 }
 
 /**
@@ -34,7 +34,7 @@
 
   /** The fingerprint; of a body that is followed, all that has come of it so far. */
   get value(): string {
-    this.#value ??= nameOf(this.#hash ?? hashOf(this.identity));
+    this.#value ??= digestOf(this.#hash ?? startHash(this.identity));
     return this.#value;
   }
 
@@ -42,7 +42,7 @@
   async *hashRest(
     rest: AsyncIterator<Uint8Array>,
   ): AsyncGenerator<Uint8Array, void, void> {
-    const hash = hashOf(this.identity);
+    const hash = startHash(this.identity);
     this.#hash = hash;
     for (;;) {
       const read = await rest.next();
@@ -53,12 +53,12 @@
   }
 }
 
-function hashOf(identity: RequestIdentity): crypto.Hash {
+function startHash(identity: RequestIdentity): crypto.Hash {
   const { account, method, host, target, body } = identity;
   const head = JSON.stringify([account, method, host, target]);
   return crypto.createHash("sha256").update(`${head}\n`).update(body);
 }
 
-function nameOf(hash: crypto.Hash): string {
-  return hash.digest().subarray(0, KEPT_BYTES).toString("base64url");
+function digestOf(hash: crypto.Hash): string {
+  return hash.digest().subarray(0, FINGERPRINT_BYTES).toString("base64url");
 }
--- a/packages/daemon/src/quarantine/quarantine.ts
+++ b/packages/daemon/src/quarantine/quarantine.ts
@@ -9,13 +9,13 @@
 import * as watchedRequests from "./watched_requests.ts";
 
 /** Runs that one log line names at most. */
-const MOST_RUNS_LOGGED = 16;
+const MAX_LOGGED_RUNS = 16;
 /** When a request is to come back while another one like it is on trial. */
-const TRIAL_MILLISECONDS = 1_000;
+const TRIAL_RETRY_MILLISECONDS = 1_000;
 /** How long a request that was held is remembered after that, in milliseconds. */
-const RELEASED_MILLISECONDS = 60_000;
+const RELEASE_RETENTION_MILLISECONDS = 60_000;
 /** Suspicions that an entry tells one that was just linked, at most. */
-const MOST_TOLD_AT_ONCE = 2_000;
+const MAX_INITIAL_SUSPICIONS = 2_000;
 
 /** What the quarantine needs of its entry. */
 export interface QuarantineParameters {
@@ -29,7 +29,7 @@
   /** Whether what is new here is passed on: not all entries are linked. */
   relays: boolean;
   /** Told of each runner's end that another entry saw. */
-  onReportedCrash: (life: string, endedAt: number) => void;
+  onReportedCrash: (incarnation: string, endedAt: number) => void;
   /** Held requests in the platform's table service. */
   rows: {
     store: (fingerprint: string, reports: suspectLedger.CrashReport[]) => void;
@@ -71,12 +71,12 @@
     if (this.#ledger.quarantined.size === 0) return 0;
     const { fingerprint } = request;
     if (!this.#ledger.quarantined.has(fingerprint)) return 0;
-    const found = this.#standingOf(fingerprint);
-    switch (found.kind) {
+    const status = this.#trialStatusOf(fingerprint);
+    switch (status.kind) {
       case "held":
-        return found.millisecondsLeft;
+        return status.millisecondsLeft;
       case "on-trial":
-        return this.#mayTry(fingerprint) ? 0 : TRIAL_MILLISECONDS;
+        return this.#mayStartTrial(fingerprint) ? 0 : TRIAL_RETRY_MILLISECONDS;
     }
   }
 
@@ -89,7 +89,7 @@
     if (milliseconds > 0 || this.#ledger.quarantined.size === 0)
       return milliseconds;
     if (this.#ledger.quarantined.has(request.fingerprint)) {
-      this.#watched.beginTrial(request);
+      this.#watched.startTrial(request);
     }
     return 0;
   }
@@ -101,7 +101,7 @@
     // Another version may run well what ends the runners of this one.
     this.#clear(
       request.fingerprint,
-      (end) => wasOnTrial || end.version === version,
+      (report) => wasOnTrial || report.version === version,
     );
   }
 
@@ -114,10 +114,10 @@
 
   /** Takes what the table service kept while no entry was there. */
   restore(reports: suspectLedger.CrashReport[]): void {
-    const kept = reports.flatMap(({ suspicions }) =>
+    const quarantined = reports.flatMap(({ suspicions }) =>
       suspicions.map(({ fingerprint }) => fingerprint),
     );
-    this.#merge(reports, kept);
+    this.#merge(reports, quarantined);
   }
 
   /**
@@ -128,23 +128,24 @@
   restoreRows(): number {
     const now = common.now();
     for (const [fingerprint, at] of this.#released) {
-      if (now - at > RELEASED_MILLISECONDS) this.#released.delete(fingerprint);
+      if (now - at > RELEASE_RETENTION_MILLISECONDS)
+        this.#released.delete(fingerprint);
     }
-    const isMine = (fingerprint: string) => this.#isChosen(fingerprint);
-    const held = [...this.#ledger.quarantined].filter(isMine);
+    const isMine = (fingerprint: string) => this.#isOwner(fingerprint);
+    const quarantined = [...this.#ledger.quarantined].filter(isMine);
     const released = [...this.#released.keys()].filter(isMine);
-    for (const fingerprint of held) this.#keepRow(fingerprint);
+    for (const fingerprint of quarantined) this.#storeRow(fingerprint);
     for (const fingerprint of released)
       this.parameters.rows.remove(fingerprint);
-    return held.length + released.length;
+    return quarantined.length + released.length;
   }
 
   /** A runner ended while requests of this entry were under way there. */
-  recordCrash(end: runnerCrash.RunnerCrash): void {
-    this.#logEnd(end);
-    const { life, runner, service, version, endedAt } = end;
-    const runs = this.#limit.receive(
-      end.runs,
+  recordCrash(crash: runnerCrash.RunnerCrash): void {
+    this.#logCrash(crash);
+    const { life, runner, service, version, endedAt } = crash;
+    const runs = this.#limit.selectRuns(
+      crash.runs,
       (fingerprint) => this.#ledger.crashesUnder(fingerprint).length,
     );
     const report: suspectLedger.CrashReport = {
@@ -162,16 +163,16 @@
       })),
     };
     const change = this.#merge([report]);
-    if (change.hasNewFacts) this.#tell([report], change.quarantined);
+    if (change.hasNewFacts) this.#send([report], change.quarantined);
   }
 
   /** A runner was heard after its end was told: it had not ended. */
-  disproveCrash(life: string): void {
-    const report = this.#ledger.reportOf(life);
+  disproveCrash(incarnation: string): void {
+    const report = this.#ledger.crashReportOf(incarnation);
     if (!report || report.disproved) return;
     const disproof = { ...report, disproved: true };
-    this.#dropRows(this.#merge([disproof]));
-    this.#tell([disproof], []);
+    this.#removeRows(this.#merge([disproof]));
+    this.#send([disproof], []);
     const { runner, seenBy } = report;
     const code = common.EventCode.RunnerEndDisproved;
     this.parameters.logger.event(code, { runner, seenBy });
@@ -183,23 +184,23 @@
   }
 
   /** When a life of a runner ended, if any entry saw it. */
-  crashTimeOf(life: string): number | undefined {
-    return this.#ledger.crashTimeOf(life);
+  crashTimeOf(incarnation: string): number | undefined {
+    return this.#ledger.crashTimeOf(incarnation);
   }
 
   /** Takes what another entry tells. */
-  take(message: wire.Suspicions, from: string): void {
+  receive(message: wire.Suspicions, from: string): void {
     const now = common.now();
-    const reports = message.ends.map((told) =>
-      suspicionsMessage.toReport(told, now),
+    const reports = message.ends.map((reported) =>
+      suspicionsMessage.toReport(reported, now),
     );
     const change = this.#merge(reports, message.held);
     const relayed = this.parameters.relays && change.hasNewFacts ? reports : [];
     // The sender may lack the ends that others saw, and with them the proof.
-    const senderKnows = change.quarantined.every((one) =>
-      message.held.includes(one),
+    const senderKnows = change.quarantined.every((fingerprint) =>
+      message.held.includes(fingerprint),
     );
-    this.#tell(relayed, change.quarantined, senderKnows ? from : undefined);
+    this.#send(relayed, change.quarantined, senderKnows ? from : undefined);
     for (const { life, endedAt, disproved } of reports) {
       if (!disproved) this.parameters.onReportedCrash(life, endedAt);
     }
@@ -207,7 +208,7 @@
 
   /** What weighs most, for an entry that was just linked; `undefined` if nothing. */
   initialMessage(): wire.Suspicions | undefined {
-    const reports = this.#ledger.mostSuspected(MOST_TOLD_AT_ONCE);
+    const reports = this.#ledger.mostSuspected(MAX_INITIAL_SUSPICIONS);
     if (reports.length === 0) return undefined;
     return suspicionsMessage.toMessage(reports, [...this.#ledger.quarantined]);
   }
@@ -218,8 +219,8 @@
       quarantineCase.caseOf({
         fingerprint,
         service: this.#ledger.serviceOf(fingerprint),
-        ends: this.#ledger.crashesUnder(fingerprint),
-        found: this.#standingOf(fingerprint),
+        crashes: this.#ledger.crashesUnder(fingerprint),
+        status: this.#trialStatusOf(fingerprint),
       }),
     );
   }
@@ -229,9 +230,9 @@
     return { ...this.#ledger.size, held: this.cases() };
   }
 
-  #standingOf(fingerprint: string): trialStatus.TrialStatus {
+  #trialStatusOf(fingerprint: string): trialStatus.TrialStatus {
     return trialStatus.trialStatusOf({
-      ends: this.#ledger.crashesUnder(fingerprint),
+      crashes: this.#ledger.crashesUnder(fingerprint),
       versionsInUse: this.parameters.versionsOf(
         this.#ledger.serviceOf(fingerprint),
       ),
@@ -243,23 +244,23 @@
    * One attempt at a time in all the system, and one only of each request, so that a
    * failed trial costs one runner.
    */
-  #mayTry(fingerprint: string): boolean {
-    return this.#isChosen(fingerprint) && !this.#watched.hasTrial(fingerprint);
+  #mayStartTrial(fingerprint: string): boolean {
+    return this.#isOwner(fingerprint) && !this.#watched.hasTrial(fingerprint);
   }
 
   /** Whether this entry is the one that acts for all on a request. */
-  #isChosen(fingerprint: string): boolean {
+  #isOwner(fingerprint: string): boolean {
     const { host, entries } = this.parameters;
     return common.rendezvous(fingerprint, entries()) === host;
   }
 
   #clear(
     fingerprint: string,
-    speaksFor: (end: { version: string }) => boolean,
+    appliesTo: (report: { version: string }) => boolean,
   ): void {
     const reports = this.#ledger
       .reportsOn(fingerprint)
-      .filter(speaksFor)
+      .filter(appliesTo)
       .filter(({ suspicions }) => suspicions.some(({ cleared }) => !cleared))
       .map((report) => ({
         ...report,
@@ -269,44 +270,49 @@
         })),
       }));
     if (reports.length === 0) return;
-    this.#dropRows(this.#merge(reports));
-    this.#tell(reports, []);
+    this.#removeRows(this.#merge(reports));
+    this.#send(reports, []);
   }
 
   #merge(
     reports: suspectLedger.CrashReport[],
-    heldElsewhere: string[] = [],
+    quarantinedElsewhere: string[] = [],
   ): suspectLedger.LedgerChange {
-    const change = this.#ledger.merge(reports, common.now(), heldElsewhere);
-    for (const fingerprint of change.quarantined) this.#onHeld(fingerprint);
+    const change = this.#ledger.merge(
+      reports,
+      common.now(),
+      quarantinedElsewhere,
+    );
+    for (const fingerprint of change.quarantined)
+      this.#onQuarantined(fingerprint);
     for (const fingerprint of change.stillQuarantined)
-      this.#keepRow(fingerprint);
+      this.#storeRow(fingerprint);
     for (const fingerprint of change.released) this.#onReleased(fingerprint);
     return change;
   }
 
-  #onHeld(fingerprint: string): void {
+  #onQuarantined(fingerprint: string): void {
     this.#released.delete(fingerprint);
     const { logger, metrics } = this.parameters;
     const service = this.#ledger.serviceOf(fingerprint);
-    const ends = this.#ledger
+    const crashes = this.#ledger
       .crashesUnder(fingerprint)
       .map(({ runner, version, seenBy }) => ({ runner, version, seenBy }));
     const code = common.EventCode.RequestQuarantined;
-    logger.event(code, { fingerprint, service, ends });
+    logger.event(code, { fingerprint, service, ends: crashes });
     metrics.count(common.Metric.Quarantined, { service });
-    this.#keepRow(fingerprint);
+    this.#storeRow(fingerprint);
     this.#watched.stop(service, fingerprint);
   }
 
-  #keepRow(fingerprint: string): void {
-    if (!this.#isChosen(fingerprint)) return;
+  #storeRow(fingerprint: string): void {
+    if (!this.#isOwner(fingerprint)) return;
     const reports = this.#ledger.reportsOn(fingerprint);
     this.parameters.rows.store(fingerprint, reports);
   }
 
   /** The chosen entry may be cut off, so who found the reason drops rows as well. */
-  #dropRows({ released }: suspectLedger.LedgerChange): void {
+  #removeRows({ released }: suspectLedger.LedgerChange): void {
     for (const fingerprint of released)
       this.parameters.rows.remove(fingerprint);
   }
@@ -314,36 +320,41 @@
   #onReleased(fingerprint: string): void {
     this.#released.set(fingerprint, common.now());
     this.#watched.forgetTrial(fingerprint);
-    if (this.#isChosen(fingerprint)) this.parameters.rows.remove(fingerprint);
+    if (this.#isOwner(fingerprint)) this.parameters.rows.remove(fingerprint);
     const code = common.EventCode.QuarantineEnded;
     this.parameters.logger.event(code, { fingerprint });
   }
 
   /** Tells reports, and of requests that are held all that speaks against them. */
-  #tell(
+  #send(
     reports: suspectLedger.CrashReport[],
-    held: string[],
+    quarantined: string[],
     except?: string,
   ): void {
-    const proofs = held.flatMap((name) => this.#ledger.reportsOn(name));
-    const told = [...reports, ...proofs];
-    if (told.length === 0) return;
-    this.parameters.send(suspicionsMessage.toMessage(told, held), except);
+    const supporting = quarantined.flatMap((fingerprint) =>
+      this.#ledger.reportsOn(fingerprint),
+    );
+    const sent = [...reports, ...supporting];
+    if (sent.length === 0) return;
+    this.parameters.send(
+      suspicionsMessage.toMessage(sent, quarantined),
+      except,
+    );
   }
 
-  #logEnd(end: runnerCrash.RunnerCrash): void {
-    const { runner, service, life, evidence, endedAt, runs } = end;
+  #logCrash(crash: runnerCrash.RunnerCrash): void {
+    const { runner, service, life, evidence, endedAt, runs } = crash;
     this.parameters.logger.event(common.EventCode.RunnerEnded, {
       runner,
       service,
       life,
       evidence,
-      runs: runs.slice(0, MOST_RUNS_LOGGED).map((run) => ({
+      runs: runs.slice(0, MAX_LOGGED_RUNS).map((run) => ({
         request: run.request,
         fingerprint: run.fingerprint,
         milliseconds: Math.round(endedAt - run.startedAt),
       })),
-      more: Math.max(0, runs.length - MOST_RUNS_LOGGED),
+      more: Math.max(0, runs.length - MAX_LOGGED_RUNS),
     });
   }
 }
--- a/packages/daemon/src/quarantine/quarantine_case.ts
+++ b/packages/daemon/src/quarantine/quarantine_case.ts
@@ -18,18 +18,18 @@
 export function caseOf(parameters: {
   fingerprint: string;
   service: string;
-  ends: suspectLedger.CrashUnderRequest[];
-  found: trialStatus.TrialStatus;
+  crashes: suspectLedger.CrashUnderRequest[];
+  status: trialStatus.TrialStatus;
 }): QuarantineCase {
-  const { fingerprint, service, ends, found } = parameters;
-  const proving = ends[crashCounts.QUARANTINE_THRESHOLD.crashes - 1];
+  const { fingerprint, service, crashes, status } = parameters;
+  const thresholdCrash = crashes[crashCounts.QUARANTINE_THRESHOLD.crashes - 1];
   return {
     fingerprint,
     service,
-    since: timeOfDay(proving.endedAt),
+    since: timeOfDay(thresholdCrash.endedAt),
     millisecondsLeft:
-      found.kind === "held" ? Math.round(found.millisecondsLeft) : 0,
-    ends: ends.map(({ runner, version, endedAt, seenBy }) => {
+      status.kind === "held" ? Math.round(status.millisecondsLeft) : 0,
+    ends: crashes.map(({ runner, version, endedAt, seenBy }) => {
       return { runner, version, at: timeOfDay(endedAt), seenBy };
     }),
   };
--- a/packages/daemon/src/quarantine/quarantine_rows.ts
+++ b/packages/daemon/src/quarantine/quarantine_rows.ts
@@ -2,18 +2,18 @@
 import * as common from "@geraniumkeel/common";
 import type * as suspectLedger from "./suspect_ledger.ts";
 
-const PREFIX = "quarantine/";
+const KEY_PREFIX = "quarantine/";
 /** First key behind all keys with the prefix. */
-const PREFIX_END = "quarantine0";
+const KEY_RANGE_END = "quarantine0";
 /** Rows read at once; no more requests are held. */
-const MOST_ROWS = 1_000;
+const MAX_ROWS = 1_000;
 const FIRST_PAUSE_MILLISECONDS = 100;
-const LONGEST_PAUSE_MILLISECONDS = 5_000;
+const MAX_PAUSE_MILLISECONDS = 5_000;
 /** Time for which a write is tried again. */
-const PATIENCE_MILLISECONDS = 60_000;
+const WRITE_TIMEOUT_MILLISECONDS = 60_000;
 
 /** A runner's end in a row: times of day, as no monotonic clock outlives its process. */
-interface KeptEnd {
+interface StoredCrash {
   life: string;
   runner: string;
   service: string;
@@ -38,7 +38,7 @@
  */
 export class QuarantineRows {
   /** By key, what is still to be written; a task is at each. */
-  readonly #wanted = new Map<string, backingServices.Write>();
+  readonly #pending = new Map<string, backingServices.Write>();
 
   constructor(readonly parameters: QuarantineRowsParameters) {}
 
@@ -48,16 +48,16 @@
     reports: suspectLedger.CrashReport[],
     signal: AbortSignal,
   ): Promise<void> {
-    const value = JSON.stringify(reports.flatMap(toKept));
+    const value = JSON.stringify(reports.flatMap(toStored));
     await this.#write(
-      backingServices.putRow(PREFIX + fingerprint, value),
+      backingServices.putRow(KEY_PREFIX + fingerprint, value),
       signal,
     );
   }
 
   /** Removes a request that is held no more. */
   async remove(fingerprint: string, signal: AbortSignal): Promise<void> {
-    const key = PREFIX + fingerprint;
+    const key = KEY_PREFIX + fingerprint;
     const kind = backingServices.WriteKind.Delete;
     await this.#write({ kind, key }, signal);
   }
@@ -69,13 +69,16 @@
     const backOff = this.#backOff();
     while (!signal.aborted) {
       const rows = await this.parameters.table.range({
-        from: PREFIX,
-        to: PREFIX_END,
-        limit: MOST_ROWS,
+        from: KEY_PREFIX,
+        to: KEY_RANGE_END,
+        limit: MAX_ROWS,
       });
       if (rows.isOk()) {
         return rows.value.flatMap(({ key, value }) =>
-          fromKept(key.slice(PREFIX.length), JSON.parse(value) as KeptEnd[]),
+          fromStored(
+            key.slice(KEY_PREFIX.length),
+            JSON.parse(value) as StoredCrash[],
+          ),
         );
       }
       await common.sleep(backOff.pause(), signal);
@@ -89,28 +92,28 @@
     signal: AbortSignal,
   ): Promise<void> {
     const { key } = write;
-    const isUnderWay = this.#wanted.has(key);
-    this.#wanted.set(key, write);
-    if (!isUnderWay) await this.#writeWanted(key, signal);
+    const isBeingWritten = this.#pending.has(key);
+    this.#pending.set(key, write);
+    if (!isBeingWritten) await this.#writePending(key, signal);
   }
 
   /** Repeating a write does no harm, so one whose answer was lost is repeated. */
-  async #writeWanted(key: string, signal: AbortSignal): Promise<void> {
+  async #writePending(key: string, signal: AbortSignal): Promise<void> {
     const { table, logger } = this.parameters;
     const backOff = this.#backOff();
-    const deadline = common.now() + PATIENCE_MILLISECONDS;
+    const deadline = common.now() + WRITE_TIMEOUT_MILLISECONDS;
     while (!signal.aborted) {
-      const write = this.#wanted.get(key);
+      const write = this.#pending.get(key);
       if (!write) return;
       const outcome = await table.transact({ conditions: [], writes: [write] });
       if (outcome.kind === backingServices.OutcomeKind.Committed) {
         // Something else may have been wanted meanwhile.
-        if (this.#wanted.get(key) === write) this.#wanted.delete(key);
+        if (this.#pending.get(key) === write) this.#pending.delete(key);
         continue;
       }
       const pause = backOff.pause();
       if (common.now() + pause > deadline) {
-        this.#wanted.delete(key);
+        this.#pending.delete(key);
         const code = common.EventCode.QuarantineNotKept;
         return logger.event(code, { row: key, outcome: outcome.kind });
       }
@@ -121,7 +124,7 @@
   #backOff(): common.BackOff {
     return new common.BackOff({
       firstMilliseconds: FIRST_PAUSE_MILLISECONDS,
-      longestMilliseconds: LONGEST_PAUSE_MILLISECONDS,
+      longestMilliseconds: MAX_PAUSE_MILLISECONDS,
       random: this.parameters.random,
     });
   }
@@ -147,7 +150,7 @@
   };
 }
 
-function toKept(report: suspectLedger.CrashReport): KeptEnd[] {
+function toStored(report: suspectLedger.CrashReport): StoredCrash[] {
   const { life, runner, service, version, seenBy, endedAt } = report;
   return report.suspicions
     .filter(({ cleared }) => !cleared && !report.disproved)
@@ -162,15 +165,15 @@
     }));
 }
 
-function fromKept(
+function fromStored(
   fingerprint: string,
-  kept: KeptEnd[],
+  stored: StoredCrash[],
 ): suspectLedger.CrashReport[] {
-  return kept.map(({ endedAt: timeOfDay, ranFor, ...same }) => {
+  return stored.map(({ endedAt: timeOfDay, ranFor, ...unchanged }) => {
     const endedAt = common.now() - (Date.now() - timeOfDay);
     const startedAt = endedAt - ranFor;
     return {
-      ...same,
+      ...unchanged,
       endedAt,
       disproved: false,
       suspicions: [{ fingerprint, startedAt, cleared: false }],
--- a/packages/daemon/src/quarantine/quarantine_test.ts
+++ b/packages/daemon/src/quarantine/quarantine_test.ts
@@ -56,7 +56,7 @@
       [other, one],
     ]) {
       const message = this.at(from).initialMessage();
-      if (message) this.at(to).take(message, from);
+      if (message) this.at(to).receive(message, from);
     }
   }
 
@@ -67,7 +67,7 @@
         continue;
       }
       this.told.push({ from, to, message });
-      entry.take(message, from);
+      entry.receive(message, from);
     }
   }
 }
--- a/packages/daemon/src/quarantine/suspect_ledger.ts
+++ b/packages/daemon/src/quarantine/suspect_ledger.ts
@@ -1,13 +1,13 @@
 import * as crashCounts from "./crash_counts.ts";
 
 /** Runners' ends that are remembered, at most. */
-const MOST_ENDS = 4_000;
+const MAX_CRASHES = 4_000;
 /** Requests remembered for all ends together, at most. */
-const MOST_SUSPICIONS = 20_000;
+const MAX_SUSPICIONS = 20_000;
 /** Requests held at once, at most. */
-const MOST_HELD = 1_000;
+const MAX_QUARANTINED_REQUESTS = 1_000;
 /** Time for which a runner's end is remembered, in milliseconds: a day. */
-const REMEMBERED_MILLISECONDS = 24 * 3_600_000;
+const RETENTION_MILLISECONDS = 24 * 3_600_000;
 
 /** A request that was under way when a runner ended. */
 export interface Suspicion {
@@ -71,65 +71,71 @@
  * reason stays when a flood of other suspects comes.
  */
 export class SuspectLedger {
-  readonly #ends = new Map<string, RecordedCrash>();
-  readonly #endsOf = new Map<string, Set<RecordedCrash>>();
+  readonly #crashes = new Map<string, RecordedCrash>();
+  readonly #crashesByFingerprint = new Map<string, Set<RecordedCrash>>();
   /** Requests that are proved to end their runners. */
-  readonly #held = new Set<string>();
+  readonly #quarantined = new Set<string>();
   #suspicions = 0;
 
   /** Requests that are held. */
   get quarantined(): ReadonlySet<string> {
-    return this.#held;
+    return this.#quarantined;
   }
 
   /** Whether any request is under suspicion. */
   get isEmpty(): boolean {
-    return this.#endsOf.size === 0;
+    return this.#crashesByFingerprint.size === 0;
   }
 
   /** Numbers for the state dump. */
   get size(): { ends: number; suspects: number; suspicions: number } {
     return {
-      ends: this.#ends.size,
-      suspects: this.#endsOf.size,
+      ends: this.#crashes.size,
+      suspects: this.#crashesByFingerprint.size,
       suspicions: this.#suspicions,
     };
   }
 
   /** When a life of a runner ended, if it is known to have. */
-  crashTimeOf(life: string): number | undefined {
-    const end = this.#ends.get(life);
-    return end && !end.disproved ? end.endedAt : undefined;
+  crashTimeOf(incarnation: string): number | undefined {
+    const crash = this.#crashes.get(incarnation);
+    return crash && !crash.disproved ? crash.endedAt : undefined;
   }
 
   /** Ends under which a request was under way, and for which nothing cleared it. */
   crashesUnder(fingerprint: string): CrashUnderRequest[] {
-    const ends: CrashUnderRequest[] = [];
-    for (const end of this.#endsOf.get(fingerprint) ?? []) {
-      const suspicion = end.suspicions.get(fingerprint);
-      if (end.disproved || !suspicion || suspicion.cleared) continue;
-      const { runner, version, endedAt, seenBy } = end;
+    const crashes: CrashUnderRequest[] = [];
+    for (const crash of this.#crashesByFingerprint.get(fingerprint) ?? []) {
+      const suspicion = crash.suspicions.get(fingerprint);
+      if (crash.disproved || !suspicion || suspicion.cleared) continue;
+      const { runner, version, endedAt, seenBy } = crash;
       const { startedAt } = suspicion;
-      ends.push({ runner, version, startedAt, endedAt, seenBy: [...seenBy] });
+      crashes.push({
+        runner,
+        version,
+        startedAt,
+        endedAt,
+        seenBy: [...seenBy],
+      });
     }
-    return ends.sort((left, right) => left.endedAt - right.endedAt);
+    return crashes.sort((left, right) => left.endedAt - right.endedAt);
   }
 
   /** Service whose runners ended under a request. */
   serviceOf(fingerprint: string): string {
-    const [first] = this.#endsOf.get(fingerprint) ?? [];
+    const [first] = this.#crashesByFingerprint.get(fingerprint) ?? [];
     return first?.service ?? "";
   }
 
   /** What is known of one life's end, but for the requests. */
-  reportOf(life: string): CrashReport | undefined {
-    const end = this.#ends.get(life);
-    return end && { ...end, seenBy: [...end.seenBy], suspicions: [] };
+  crashReportOf(incarnation: string): CrashReport | undefined {
+    const crash = this.#crashes.get(incarnation);
+    return crash && { ...crash, seenBy: [...crash.seenBy], suspicions: [] };
   }
 
   /** Ends that are not disproved, from `earliest` to `latest`. */
   crashedIncarnations(earliest: number, latest: number): string[] {
-    return [...this.#ends.values()]
+    return [...this.#crashes.values()]
       .filter(({ disproved }) => !disproved)
       .filter(({ endedAt }) => endedAt >= earliest && endedAt <= latest)
       .map(({ life }) => life);
@@ -137,27 +143,33 @@
 
   /** Reports that tell all that is known of a request. */
   reportsOn(fingerprint: string): CrashReport[] {
-    const ends = this.#endsOf.get(fingerprint) ?? [];
-    return [...ends].map((end) => reportOf(end, fingerprint));
+    const crashes = this.#crashesByFingerprint.get(fingerprint) ?? [];
+    return [...crashes].map((crash) => reportOf(crash, fingerprint));
   }
 
   /** Reports of requests that were under way at the most ends, and at the latest. */
-  mostSuspected(mostSuspicions: number): CrashReport[] {
-    const pairs = [...this.#endsOf].flatMap(([fingerprint, ends]) =>
-      [...ends].map((end) => ({ fingerprint, end, weight: ends.size })),
+  mostSuspected(maxSuspicions: number): CrashReport[] {
+    const pairs = [...this.#crashesByFingerprint].flatMap(
+      ([fingerprint, crashes]) =>
+        [...crashes].map((crash) => ({
+          fingerprint,
+          crash,
+          crashCount: crashes.size,
+        })),
     );
     pairs.sort(
       (left, right) =>
-        right.weight - left.weight || right.end.endedAt - left.end.endedAt,
+        right.crashCount - left.crashCount ||
+        right.crash.endedAt - left.crash.endedAt,
     );
-    const told = new Map<RecordedCrash, CrashReport>();
-    for (const { fingerprint, end } of pairs.slice(0, mostSuspicions)) {
-      const one = reportOf(end, fingerprint);
-      const known = told.get(end);
-      if (known) known.suspicions.push(...one.suspicions);
-      else told.set(end, one);
+    const reports = new Map<RecordedCrash, CrashReport>();
+    for (const { fingerprint, crash } of pairs.slice(0, maxSuspicions)) {
+      const report = reportOf(crash, fingerprint);
+      const known = reports.get(crash);
+      if (known) known.suspicions.push(...report.suspicions);
+      else reports.set(crash, report);
     }
-    return [...told.values()];
+    return [...reports.values()];
   }
 
   /**
@@ -167,7 +179,7 @@
   merge(
     reports: CrashReport[],
     now: number,
-    heldElsewhere: string[] = [],
+    quarantinedElsewhere: string[] = [],
   ): LedgerChange {
     const change: LedgerChange = {
       hasNewFacts: false,
@@ -175,54 +187,57 @@
       stillQuarantined: [],
       released: [],
     };
-    const wanted = new Set(heldElsewhere);
+    const elsewhere = new Set(quarantinedElsewhere);
     const touched = new Set<string>();
     for (const report of reports) {
-      if (!isRemembered(report, now, wanted)) continue;
-      for (const fingerprint of this.#take(report)) touched.add(fingerprint);
+      if (!isRetained(report, now, elsewhere)) continue;
+      for (const fingerprint of this.#apply(report)) touched.add(fingerprint);
     }
     change.hasNewFacts = touched.size > 0;
-    for (const fingerprint of touched) this.#judge(fingerprint, change);
-    for (const fingerprint of wanted) this.#holdToo(fingerprint, change);
-    this.#forget(now);
+    for (const fingerprint of touched) this.#reevaluate(fingerprint, change);
+    for (const fingerprint of elsewhere)
+      this.#quarantineAsElsewhere(fingerprint, change);
+    this.#enforceLimits(now);
     return change;
   }
 
   /** Takes one report; the requests of which it says anything new. */
-  #take(report: CrashReport): Set<string> {
+  #apply(report: CrashReport): Set<string> {
     const touched = new Set<string>();
-    const end = this.#ends.get(report.life) ?? this.#record(report);
-    if (report.disproved && !end.disproved) {
-      end.disproved = true;
-      for (const fingerprint of end.suspicions.keys()) touched.add(fingerprint);
+    const crash = this.#crashes.get(report.life) ?? this.#record(report);
+    if (report.disproved && !crash.disproved) {
+      crash.disproved = true;
+      for (const fingerprint of crash.suspicions.keys())
+        touched.add(fingerprint);
     }
-    end.endedAt = Math.min(end.endedAt, report.endedAt);
-    for (const host of report.seenBy) end.seenBy.add(host);
+    crash.endedAt = Math.min(crash.endedAt, report.endedAt);
+    for (const host of report.seenBy) crash.seenBy.add(host);
     for (const suspicion of report.suspicions) {
-      if (this.#suspect(end, suspicion)) touched.add(suspicion.fingerprint);
+      if (this.#addSuspicion(crash, suspicion))
+        touched.add(suspicion.fingerprint);
     }
     return touched;
   }
 
   #record(report: CrashReport): RecordedCrash {
-    const end: RecordedCrash = {
+    const crash: RecordedCrash = {
       ...report,
       disproved: false,
       seenBy: new Set(),
       suspicions: new Map(),
     };
-    this.#ends.set(report.life, end);
-    return end;
+    this.#crashes.set(report.life, crash);
+    return crash;
   }
 
   /** Notes a request under way at an end; whether that is news. */
-  #suspect(end: RecordedCrash, suspicion: Suspicion): boolean {
+  #addSuspicion(crash: RecordedCrash, suspicion: Suspicion): boolean {
     const { fingerprint, startedAt, cleared } = suspicion;
-    const known = end.suspicions.get(fingerprint);
+    const known = crash.suspicions.get(fingerprint);
     if (!known) {
-      end.suspicions.set(fingerprint, { startedAt, cleared });
-      const ends = this.#endsOf.get(fingerprint) ?? new Set();
-      this.#endsOf.set(fingerprint, ends.add(end));
+      crash.suspicions.set(fingerprint, { startedAt, cleared });
+      const crashes = this.#crashesByFingerprint.get(fingerprint) ?? new Set();
+      this.#crashesByFingerprint.set(fingerprint, crashes.add(crash));
       this.#suspicions++;
       return true;
     }
@@ -232,99 +247,105 @@
     return true;
   }
 
-  #judge(fingerprint: string, change: LedgerChange): void {
-    const ends = this.crashesUnder(fingerprint);
-    if (this.#held.has(fingerprint)) {
-      const stays = ends.length >= crashCounts.QUARANTINE_THRESHOLD.crashes;
-      if (!stays) this.#held.delete(fingerprint);
-      const where = stays ? change.stillQuarantined : change.released;
-      where.push(fingerprint);
+  #reevaluate(fingerprint: string, change: LedgerChange): void {
+    const crashes = this.crashesUnder(fingerprint);
+    if (this.#quarantined.has(fingerprint)) {
+      const stays = crashes.length >= crashCounts.QUARANTINE_THRESHOLD.crashes;
+      if (!stays) this.#quarantined.delete(fingerprint);
+      const list = stays ? change.stillQuarantined : change.released;
+      list.push(fingerprint);
       return;
     }
-    if (!crashCounts.reachesThreshold(crashCounts.countCrashes(ends))) return;
-    this.#holdNow(fingerprint, change);
+    if (!crashCounts.reachesThreshold(crashCounts.countCrashes(crashes)))
+      return;
+    this.#quarantine(fingerprint, change);
   }
 
-  #holdToo(fingerprint: string, change: LedgerChange): void {
-    if (this.#held.has(fingerprint)) return;
+  #quarantineAsElsewhere(fingerprint: string, change: LedgerChange): void {
+    if (this.#quarantined.has(fingerprint)) return;
     if (
       this.crashesUnder(fingerprint).length <
       crashCounts.QUARANTINE_THRESHOLD.crashes
     )
       return;
-    this.#holdNow(fingerprint, change);
+    this.#quarantine(fingerprint, change);
   }
 
   /** Holds a request; if there are too many, the one that nobody sent for longest goes. */
-  #holdNow(fingerprint: string, change: LedgerChange): void {
-    this.#held.add(fingerprint);
-    const pushedOut = this.#heldTooMany();
-    if (pushedOut !== undefined) this.#held.delete(pushedOut);
-    if (pushedOut === fingerprint) return;
+  #quarantine(fingerprint: string, change: LedgerChange): void {
+    this.#quarantined.add(fingerprint);
+    const evicted = this.#requestToEvict();
+    if (evicted !== undefined) this.#quarantined.delete(evicted);
+    if (evicted === fingerprint) return;
     change.quarantined.push(fingerprint);
-    if (pushedOut !== undefined) change.released.push(pushedOut);
+    if (evicted !== undefined) change.released.push(evicted);
   }
 
-  #heldTooMany(): string | undefined {
-    if (this.#held.size <= MOST_HELD) return undefined;
-    const lastEnds = [...this.#held].map((fingerprint) => {
+  #requestToEvict(): string | undefined {
+    if (this.#quarantined.size <= MAX_QUARANTINED_REQUESTS) return undefined;
+    const byLastCrash = [...this.#quarantined].map((fingerprint) => {
       const endedAt =
         this.crashesUnder(fingerprint).at(-1)?.endedAt ?? -Infinity;
       return { fingerprint, endedAt };
     });
-    lastEnds.sort((left, right) => left.endedAt - right.endedAt);
-    return lastEnds[0].fingerprint;
+    byLastCrash.sort((left, right) => left.endedAt - right.endedAt);
+    return byLastCrash[0].fingerprint;
   }
 
   /** Keeps to the bounds: what is old goes, then what was seen once, oldest first. */
-  #forget(now: number): void {
-    const oldest = now - REMEMBERED_MILLISECONDS;
-    for (const end of this.#ends.values()) {
-      const full = this.#ends.size > MOST_ENDS;
-      if (end.endedAt >= oldest && !full) break;
-      this.#dropSuspicions(end, (fingerprint) => !this.#held.has(fingerprint));
-      if (end.suspicions.size === 0) this.#ends.delete(end.life);
+  #enforceLimits(now: number): void {
+    const oldest = now - RETENTION_MILLISECONDS;
+    for (const crash of this.#crashes.values()) {
+      const full = this.#crashes.size > MAX_CRASHES;
+      if (crash.endedAt >= oldest && !full) break;
+      this.#removeSuspicions(
+        crash,
+        (fingerprint) => !this.#quarantined.has(fingerprint),
+      );
+      if (crash.suspicions.size === 0) this.#crashes.delete(crash.life);
     }
-    if (this.#suspicions <= MOST_SUSPICIONS) return;
-    this.#makeRoom((fingerprint) => this.#endsOf.get(fingerprint)?.size === 1);
-    this.#makeRoom((fingerprint) => !this.#held.has(fingerprint));
+    if (this.#suspicions <= MAX_SUSPICIONS) return;
+    this.#evictSuspicions(
+      (fingerprint) => this.#crashesByFingerprint.get(fingerprint)?.size === 1,
+    );
+    this.#evictSuspicions((fingerprint) => !this.#quarantined.has(fingerprint));
   }
 
-  #makeRoom(mayGo: (fingerprint: string) => boolean): void {
-    for (const end of this.#ends.values()) {
-      if (this.#suspicions <= MOST_SUSPICIONS) return;
-      this.#dropSuspicions(end, mayGo);
+  #evictSuspicions(mayEvict: (fingerprint: string) => boolean): void {
+    for (const crash of this.#crashes.values()) {
+      if (this.#suspicions <= MAX_SUSPICIONS) return;
+      this.#removeSuspicions(crash, mayEvict);
     }
   }
 
-  #dropSuspicions(
-    end: RecordedCrash,
-    mayGo: (fingerprint: string) => boolean,
+  #removeSuspicions(
+    crash: RecordedCrash,
+    mayRemove: (fingerprint: string) => boolean,
   ): void {
-    for (const fingerprint of end.suspicions.keys()) {
-      if (!mayGo(fingerprint)) continue;
-      end.suspicions.delete(fingerprint);
+    for (const fingerprint of crash.suspicions.keys()) {
+      if (!mayRemove(fingerprint)) continue;
+      crash.suspicions.delete(fingerprint);
       this.#suspicions--;
-      const ends = this.#endsOf.get(fingerprint);
-      ends?.delete(end);
-      if (ends?.size === 0) this.#endsOf.delete(fingerprint);
+      const crashes = this.#crashesByFingerprint.get(fingerprint);
+      crashes?.delete(crash);
+      if (crashes?.size === 0) this.#crashesByFingerprint.delete(fingerprint);
     }
   }
 }
 
 /** Whether a report is young enough, or speaks against a request that is held. */
-function isRemembered(
+function isRetained(
   { endedAt, suspicions }: CrashReport,
   now: number,
-  held: ReadonlySet<string>,
+  quarantined: ReadonlySet<string>,
 ): boolean {
-  if (endedAt >= now - REMEMBERED_MILLISECONDS) return true;
-  return suspicions.some(({ fingerprint }) => held.has(fingerprint));
+  if (endedAt >= now - RETENTION_MILLISECONDS) return true;
+  return suspicions.some(({ fingerprint }) => quarantined.has(fingerprint));
 }
 
 /** What is known of one request at an end. */
-function reportOf(end: RecordedCrash, fingerprint: string): CrashReport {
-  const known = end.suspicions.get(fingerprint);
+function reportOf(crash: RecordedCrash, fingerprint: string): CrashReport {
+  const known = crash.suspicions.get(fingerprint);
   const suspicions = known ? [{ fingerprint, ...known }] : [];
-  return { ...end, seenBy: [...end.seenBy], suspicions };
+  return { ...crash, seenBy: [...crash.seenBy], suspicions };
 }
--- a/packages/daemon/src/quarantine/suspicions_message.ts
+++ b/packages/daemon/src/quarantine/suspicions_message.ts
@@ -5,24 +5,24 @@
 /** What entries tell each other of ends, and of the requests that they hold. */
 export function toMessage(
   reports: suspectLedger.CrashReport[],
-  held: string[],
+  quarantined: string[],
 ): wire.Suspicions {
   const now = common.now();
   return {
     kind: wire.MessageKind.Suspicions,
-    ends: reports.map((report) => toTold(report, now)),
-    held,
+    ends: reports.map((report) => toReportedCrash(report, now)),
+    held: quarantined,
   };
 }
 
 /** A report as it is told: no two clocks are compared, so times travel as ages. */
-function toTold(
+function toReportedCrash(
   report: suspectLedger.CrashReport,
   now: number,
 ): wire.ReportedCrash {
-  const { endedAt, suspicions, ...same } = report;
+  const { endedAt, suspicions, ...unchanged } = report;
   return {
-    ...same,
+    ...unchanged,
     age: Math.round(now - endedAt),
     suspicions: suspicions.map(({ fingerprint, startedAt, cleared }) => ({
       fingerprint,
@@ -34,12 +34,12 @@
 
 /** A report as it was told, by this process's clock. */
 export function toReport(
-  told: wire.ReportedCrash,
+  reported: wire.ReportedCrash,
   now: number,
 ): suspectLedger.CrashReport {
-  const { age, suspicions, ...same } = told;
+  const { age, suspicions, ...unchanged } = reported;
   return {
-    ...same,
+    ...unchanged,
     endedAt: now - age,
     suspicions: suspicions.map(({ fingerprint, startedAge, cleared }) => ({
       fingerprint,
--- a/packages/daemon/src/quarantine/trial_status_test.ts
+++ b/packages/daemon/src/quarantine/trial_status_test.ts
@@ -27,7 +27,7 @@
 ): trialStatus.TrialStatus["kind"] {
   const versionsInUse = new Set(versions);
   return trialStatus.trialStatusOf({
-    ends: ends(times, version),
+    crashes: ends(times, version),
     versionsInUse,
     now,
   }).kind;
--- a/packages/daemon/src/quarantine/watched_requests.ts
+++ b/packages/daemon/src/quarantine/watched_requests.ts
@@ -13,11 +13,11 @@
  * Time from the beginning of one trial to the next, in milliseconds, if it shows nothing:
  * its runner had no room, or its caller left.
  */
-const TRIAL_PAUSE_MILLISECONDS = 10_000;
+const MIN_TRIAL_INTERVAL_MILLISECONDS = 10_000;
 
 interface Trial {
   request: WatchedRequest;
-  begunAt: number;
+  startedAt: number;
 }
 
 /** Requests under way at this entry, and those among them that are on trial. */
@@ -45,7 +45,7 @@
     const trial = this.#trials.get(fingerprint);
     if (!trial) return false;
     if (this.#underWay.has(trial.request)) return true;
-    return common.now() - trial.begunAt < TRIAL_PAUSE_MILLISECONDS;
+    return common.now() - trial.startedAt < MIN_TRIAL_INTERVAL_MILLISECONDS;
   }
 
   /** Whether this very request is on trial. */
@@ -54,8 +54,8 @@
   }
 
   /** Puts a request on trial for as long as it is under way. */
-  beginTrial(request: WatchedRequest): void {
-    const trial = { request, begunAt: common.now() };
+  startTrial(request: WatchedRequest): void {
+    const trial = { request, startedAt: common.now() };
     this.#trials.set(request.fingerprint, trial);
   }
 
--- a/packages/daemon/src/quarantine/watched_requests_test.ts
+++ b/packages/daemon/src/quarantine/watched_requests_test.ts
@@ -26,7 +26,7 @@
   const watched = new watchedRequests.WatchedRequests();
   const request = requestOf();
   const unwatch = watched.watch(request);
-  watched.beginTrial(request);
+  watched.startTrial(request);
   t.true(watched.isOnTrial(request));
   t.false(watched.isOnTrial(requestOf()));
   unwatch();
--- a/packages/stand_ins/src/measure/quarantine_world/quarantine_cost.ts
+++ b/packages/stand_ins/src/measure/quarantine_world/quarantine_cost.ts
@@ -130,7 +130,7 @@
         })),
       },
     ];
-    entry.take({ ...told[0], ends }, "entry-2");
+    entry.receive({ ...told[0], ends }, "entry-2");
   }
   const suspicions = ENDS * SUSPECTS_OF_AN_END;
   const bytes = usedHeap.usedHeap() - before;
