--- a/packages/daemon/src/quarantine/crash_counts_test.ts
+++ b/packages/daemon/src/quarantine/crash_counts_test.ts
@@ -35,20 +35,22 @@
 });
 
 test("the order in which runs are told does not matter", (t) => {
-  const any = fastCheck.tuple(
+  const runArbitrary = fastCheck.tuple(
     fastCheck.integer({ min: 0, max: 1_000 }),
     fastCheck.integer({ min: 0, max: 500 }),
   );
   fastCheck.assert(
     fastCheck.property(
-      fastCheck.array(any, { maxLength: 12 }),
+      fastCheck.array(runArbitrary, { maxLength: 12 }),
       fastCheck.nat(),
-      (pairs, turn) => {
-        const runs = pairs.map(([start, lasts]) => run(start, start + lasts));
-        const split = runs.length === 0 ? 0 : turn % runs.length;
-        const turned = [...runs.slice(split), ...runs.slice(0, split)];
+      (pairs, offset) => {
+        const runs = pairs.map(([start, duration]) =>
+          run(start, start + duration),
+        );
+        const split = runs.length === 0 ? 0 : offset % runs.length;
+        const rotated = [...runs.slice(split), ...runs.slice(0, split)];
         t.deepEqual(
-          crashCounts.countCrashes(turned),
+          crashCounts.countCrashes(rotated),
           crashCounts.countCrashes(runs),
         );
       },
--- a/packages/daemon/src/quarantine/crash_review_test.ts
+++ b/packages/daemon/src/quarantine/crash_review_test.ts
@@ -10,70 +10,74 @@
 
 interface Scene {
   review: crashReview.CrashReview;
-  alive: string[];
+  disproved: string[];
   /** Has time pass. */
-  pass: (milliseconds: number) => void;
+  advance: (milliseconds: number) => void;
 }
 
 /** A process that saw the runner end at 0, and began then. */
 function sceneOf(): Scene {
   let now = 0;
-  const alive: string[] = [];
-  const life = traffic.incarnationOf(RUNNER);
+  const disproved: string[] = [];
+  const incarnation = traffic.incarnationOf(RUNNER);
   const review = new crashReview.CrashReview({
     clock: () => now,
-    crashTimeOf: (asked) => (asked === life ? 0 : undefined),
+    crashTimeOf: (requested) => (requested === incarnation ? 0 : undefined),
     crashedIncarnations: (earliest, latest) =>
-      earliest <= 0 && latest >= 0 ? [life] : [],
-    onDisproved: (one) => alive.push(one),
+      earliest <= 0 && latest >= 0 ? [incarnation] : [],
+    onDisproved: (disprovedIncarnation) => disproved.push(disprovedIncarnation),
   });
-  return { review, alive, pass: (milliseconds) => (now += milliseconds) };
+  return {
+    review,
+    disproved,
+    advance: (milliseconds) => (now += milliseconds),
+  };
 }
 
 // A cut between one entry and a runner must not pass for the runner's end.
 test("a runner that answers after its end had not ended", (t) => {
-  const { review, alive, pass } = sceneOf();
-  pass(500);
+  const { review, disproved, advance } = sceneOf();
+  advance(500);
   review.reviewAnswer(RUNNER);
-  t.deepEqual(alive, [traffic.incarnationOf(RUNNER)]);
+  t.deepEqual(disproved, [traffic.incarnationOf(RUNNER)]);
 });
 
 test("an answer that was on its way at the end says nothing", (t) => {
-  const { review, alive, pass } = sceneOf();
-  pass(50);
+  const { review, disproved, advance } = sceneOf();
+  advance(50);
   review.reviewAnswer(RUNNER);
-  t.deepEqual(alive, []);
+  t.deepEqual(disproved, []);
 });
 
 // A runner may start again under the identifier that it had.
 test("an answer seconds later may be of another life", (t) => {
-  const { review, alive, pass } = sceneOf();
-  pass(3_000);
+  const { review, disproved, advance } = sceneOf();
+  advance(3_000);
   review.reviewAnswer(RUNNER);
-  t.deepEqual(alive, []);
+  t.deepEqual(disproved, []);
 });
 
 test("a runner that stays listed had not ended", (t) => {
-  const { review, alive, pass } = sceneOf();
-  pass(5_000);
+  const { review, disproved, advance } = sceneOf();
+  advance(5_000);
   review.reviewList(LIST, 100);
-  t.deepEqual(alive, []);
-  pass(6_000);
+  t.deepEqual(disproved, []);
+  advance(6_000);
   review.reviewList(
     { version: 2, runners: [{ ...RUNNER, bornAt: 2_000 }] },
     100,
   );
-  t.deepEqual(alive, []);
+  t.deepEqual(disproved, []);
   review.reviewList(LIST, 100);
-  t.deepEqual(alive, [traffic.incarnationOf(RUNNER)]);
+  t.deepEqual(disproved, [traffic.incarnationOf(RUNNER)]);
 });
 
 // No registration lapses while the store is away, a dead runner's neither.
 test("a list that was not kept says nothing of who is alive", (t) => {
-  const { review, alive, pass } = sceneOf();
-  pass(8_000);
+  const { review, disproved, advance } = sceneOf();
+  advance(8_000);
   review.reviewList(LIST, 5_000);
-  pass(6_000);
+  advance(6_000);
   review.reviewList(LIST, 100);
-  t.deepEqual(alive, []);
+  t.deepEqual(disproved, []);
 });
--- a/packages/daemon/src/quarantine/quarantine_rows_test.ts
+++ b/packages/daemon/src/quarantine/quarantine_rows_test.ts
@@ -46,7 +46,7 @@
   return new quarantineRows.QuarantineRows({ table, random, logger });
 }
 
-function endOf(number: number): suspectLedger.CrashReport {
+function reportOf(number: number): suspectLedger.CrashReport {
   const endedAt = common.now() - 10_000 + 100 * number;
   return {
     life: `life-${number}`,
@@ -64,11 +64,11 @@
 
 test("what was written is read again, with the time that has passed", async (t) => {
   const rows = createRows(new MemoryTable(0));
-  const end = endOf(1);
-  await rows.store("f", [end], signal);
+  const report = reportOf(1);
+  await rows.store("f", [report], signal);
   const [read] = (await rows.read(signal)) ?? [];
-  const { endedAt, suspicions } = end;
-  t.deepEqual({ ...read, endedAt, suspicions }, end);
+  const { endedAt, suspicions } = report;
+  t.deepEqual({ ...read, endedAt, suspicions }, report);
   // Times of day are whole milliseconds.
   t.true(Math.abs(read.endedAt - endedAt) < 1_000);
   t.is(read.suspicions[0].fingerprint, "f");
@@ -79,15 +79,15 @@
 test("a row that is dropped while its write is tried again stays away", async (t) => {
   const table = new MemoryTable(1);
   const rows = createRows(table);
-  const kept = rows.store("f", [endOf(1)], signal);
-  await Promise.all([kept, rows.remove("f", signal)]);
+  const stored = rows.store("f", [reportOf(1)], signal);
+  await Promise.all([stored, rows.remove("f", signal)]);
   t.is(table.rows.size, 0);
 });
 
 test("the last of several writes of a row is the one that stays", async (t) => {
   const rows = createRows(new MemoryTable(1));
-  const ends = [endOf(1), endOf(2), endOf(3)];
-  const first = rows.store("f", ends.slice(0, 1), signal);
-  await Promise.all([first, rows.store("f", ends, signal)]);
+  const reports = [reportOf(1), reportOf(2), reportOf(3)];
+  const first = rows.store("f", reports.slice(0, 1), signal);
+  await Promise.all([first, rows.store("f", reports, signal)]);
   t.is((await rows.read(signal))?.length, 3);
 });
--- a/packages/daemon/src/quarantine/quarantine_test.ts
+++ b/packages/daemon/src/quarantine/quarantine_test.ts
@@ -12,23 +12,23 @@
 class Network {
   readonly entries = new Map<string, quarantine.Quarantine>();
   readonly rows = new Set<string>();
-  readonly told: { from: string; to: string; message: wire.Suspicions }[] = [];
+  readonly sent: { from: string; to: string; message: wire.Suspicions }[] = [];
   /** Pairs without a link. */
-  readonly cut = new Set<string>();
+  readonly unlinkedPairs = new Set<string>();
 
   constructor(hosts: string[], relays = false) {
     for (const host of hosts) {
-      const one = quarantineFixture.createQuarantine({
+      const entry = quarantineFixture.createQuarantine({
         host,
         entries: () => hosts,
         relays,
-        send: (message, except) => this.#tell(host, message, except),
+        send: (message, except) => this.#deliver(host, message, except),
         rows: {
           store: (fingerprint) => this.rows.add(fingerprint),
           remove: (fingerprint) => this.rows.delete(fingerprint),
         },
       });
-      this.entries.set(host, one);
+      this.entries.set(host, entry);
     }
   }
 
@@ -39,7 +39,7 @@
   }
 
   /** Hosts of the entries that hold a request. */
-  holding(fingerprint = "f"): string[] {
+  hostsQuarantining(fingerprint = "f"): string[] {
     return [...this.entries]
       .filter(([, entry]) =>
         entry.cases().some((one) => one.fingerprint === fingerprint),
@@ -49,8 +49,8 @@
 
   /** Has two entries link anew. */
   link(one: string, other: string): void {
-    this.cut.delete(`${one} ${other}`);
-    this.cut.delete(`${other} ${one}`);
+    this.unlinkedPairs.delete(`${one} ${other}`);
+    this.unlinkedPairs.delete(`${other} ${one}`);
     for (const [from, to] of [
       [one, other],
       [other, one],
@@ -60,13 +60,16 @@
     }
   }
 
-  #tell(from: string, message: wire.Suspicions, except?: string): void {
+  #deliver(from: string, message: wire.Suspicions, except?: string): void {
     for (const [to, entry] of this.entries) {
       if (to === from || to === except) continue;
-      if (this.cut.has(`${from} ${to}`) || this.cut.has(`${to} ${from}`)) {
+      if (
+        this.unlinkedPairs.has(`${from} ${to}`) ||
+        this.unlinkedPairs.has(`${to} ${from}`)
+      ) {
         continue;
       }
-      this.told.push({ from, to, message });
+      this.sent.push({ from, to, message });
       entry.receive(message, from);
     }
   }
@@ -75,7 +78,7 @@
 let clock = common.now() - 20_000;
 
 /** A runner's end with requests under way, later than all before. */
-function endOf(
+function crashOf(
   name: string,
   fingerprints: string[] = ["f"],
 ): runnerCrash.RunnerCrash {
@@ -104,67 +107,67 @@
 
 test("ends that three entries saw are put together by all", (t) => {
   const network = new Network(["a", "b", "c"]);
-  network.at("a").recordCrash(endOf("i-1"));
-  network.at("b").recordCrash(endOf("i-2"));
-  t.deepEqual(network.holding(), []);
-  network.at("c").recordCrash(endOf("i-3"));
-  t.deepEqual(network.holding(), ["a", "b", "c"]);
+  network.at("a").recordCrash(crashOf("i-1"));
+  network.at("b").recordCrash(crashOf("i-2"));
+  t.deepEqual(network.hostsQuarantining(), []);
+  network.at("c").recordCrash(crashOf("i-3"));
+  t.deepEqual(network.hostsQuarantining(), ["a", "b", "c"]);
   t.is(network.rows.size, 1);
 });
 
 // Without it entries that do not hear each other go on sending the request.
 test("an entry that hears two others tells each what the other saw", (t) => {
   const network = new Network(["a", "b", "c"]);
-  network.cut.add("a b");
-  network.at("a").recordCrash(endOf("i-1"));
-  network.at("b").recordCrash(endOf("i-2"));
-  network.at("a").recordCrash(endOf("i-3"));
-  t.deepEqual(network.holding(), ["a", "b", "c"]);
+  network.unlinkedPairs.add("a b");
+  network.at("a").recordCrash(crashOf("i-1"));
+  network.at("b").recordCrash(crashOf("i-2"));
+  network.at("a").recordCrash(crashOf("i-3"));
+  t.deepEqual(network.hostsQuarantining(), ["a", "b", "c"]);
 });
 
 test("an entry that was cut off learns when it is linked again", (t) => {
   const network = new Network(["a", "b", "c"]);
-  network.cut.add("a c").add("b c");
+  network.unlinkedPairs.add("a c").add("b c");
   for (const name of ["i-1", "i-2", "i-3"]) {
-    network.at("a").recordCrash(endOf(name));
+    network.at("a").recordCrash(crashOf(name));
   }
-  t.deepEqual(network.holding(), ["a", "b"]);
+  t.deepEqual(network.hostsQuarantining(), ["a", "b"]);
   network.link("b", "c");
-  t.deepEqual(network.holding(), ["a", "b", "c"]);
+  t.deepEqual(network.hostsQuarantining(), ["a", "b", "c"]);
 });
 
 // Entries of a large system are linked with few others.
 test("where not all are linked each passes on what is new to it", (t) => {
   const network = new Network(["a", "b", "c", "d"], true);
-  network.cut.add("a c").add("a d").add("b d");
-  network.at("a").recordCrash(endOf("i-1"));
-  network.at("d").recordCrash(endOf("i-2"));
-  network.at("b").recordCrash(endOf("i-3"));
-  t.deepEqual(network.holding(), ["a", "b", "c", "d"]);
+  network.unlinkedPairs.add("a c").add("a d").add("b d");
+  network.at("a").recordCrash(crashOf("i-1"));
+  network.at("d").recordCrash(crashOf("i-2"));
+  network.at("b").recordCrash(crashOf("i-3"));
+  t.deepEqual(network.hostsQuarantining(), ["a", "b", "c", "d"]);
 });
 
 test("nothing is told while no runner ends, and little when one does", (t) => {
   const network = new Network(["a", "b", "c"]);
   network.at("a").answered(requestOf(), "1");
   t.is(network.at("a").initialMessage(), undefined);
-  t.is(network.told.length, 0);
-  network.at("a").recordCrash(endOf("i-1"));
-  t.is(network.told.length, 2);
-  t.false(JSON.stringify(network.told[0].message).includes("of f"));
+  t.is(network.sent.length, 0);
+  network.at("a").recordCrash(crashOf("i-1"));
+  t.is(network.sent.length, 2);
+  t.false(JSON.stringify(network.sent[0].message).includes("of f"));
 });
 
 // All requests of a moment are under way somewhere when all hosts are lost.
 test("what is told of one second is bounded, the likeliest first", (t) => {
   const network = new Network(["a", "b"]);
-  network.at("a").recordCrash(endOf("i-1"));
+  network.at("a").recordCrash(crashOf("i-1"));
   const many = Array.from({ length: 2_000 }, (_, number) => `g-${number}`);
-  network.at("a").recordCrash(endOf("i-2", [...many, "f"]));
-  network.at("a").recordCrash(endOf("i-3", many));
-  const told = network.told.flatMap(({ message }) =>
+  network.at("a").recordCrash(crashOf("i-2", [...many, "f"]));
+  network.at("a").recordCrash(crashOf("i-3", many));
+  const suspicions = network.sent.flatMap(({ message }) =>
     message.ends.flatMap(({ suspicions }) => suspicions),
   );
-  t.true(told.length <= 500);
-  t.is(told.filter(({ fingerprint }) => fingerprint === "f").length, 2);
+  t.true(suspicions.length <= 500);
+  t.is(suspicions.filter(({ fingerprint }) => fingerprint === "f").length, 2);
 });
 
 test("a request that waits for its answer is ended when it is held", (t) => {
@@ -175,7 +178,7 @@
   network.at("b").watch(other);
   const unwatch = network.at("b").watch(waiting);
   for (const name of ["i-1", "i-2", "i-3"]) {
-    network.at("a").recordCrash(endOf(name));
+    network.at("a").recordCrash(crashOf(name));
   }
   t.is(stopped, 1);
   unwatch();
@@ -185,48 +188,48 @@
 
 test("an operator's word lifts a quarantine everywhere, and for good", (t) => {
   const network = new Network(["a", "b", "c"]);
-  const ends = ["i-1", "i-2", "i-3"].map((name) => endOf(name));
-  for (const end of ends) network.at("a").recordCrash(end);
+  const crashes = ["i-1", "i-2", "i-3"].map((name) => crashOf(name));
+  for (const crash of crashes) network.at("a").recordCrash(crash);
   t.true(network.at("b").lift("f"));
-  t.deepEqual(network.holding(), []);
+  t.deepEqual(network.hostsQuarantining(), []);
   t.is(network.rows.size, 0);
   // What an entry tells late brings nothing back.
-  network.at("c").recordCrash(ends[2]);
-  t.deepEqual(network.holding(), []);
+  network.at("c").recordCrash(crashes[2]);
+  t.deepEqual(network.hostsQuarantining(), []);
   t.false(network.at("b").lift("f"));
 });
 
 test("a runner that is heard again had not ended, for any entry", (t) => {
   const network = new Network(["a", "b", "c"]);
   for (const name of ["i-1", "i-2", "i-3"]) {
-    network.at("a").recordCrash(endOf(name));
+    network.at("a").recordCrash(crashOf(name));
   }
   network.at("c").disproveCrash("life of i-3");
-  t.deepEqual(network.holding(), []);
+  t.deepEqual(network.hostsQuarantining(), []);
 });
 
 // A caller must not lose other requests of its own, nor others theirs.
 test("only the request that was at all the ends is held", (t) => {
   const network = new Network(["a", "b"]);
-  network.at("a").recordCrash(endOf("i-1", ["f", "g"]));
-  network.at("a").recordCrash(endOf("i-2", ["f", "h"]));
-  network.at("a").recordCrash(endOf("i-3", ["f", "g"]));
-  t.deepEqual(network.holding("f"), ["a", "b"]);
-  t.deepEqual(network.holding("g"), []);
+  network.at("a").recordCrash(crashOf("i-1", ["f", "g"]));
+  network.at("a").recordCrash(crashOf("i-2", ["f", "h"]));
+  network.at("a").recordCrash(crashOf("i-3", ["f", "g"]));
+  t.deepEqual(network.hostsQuarantining("f"), ["a", "b"]);
+  t.deepEqual(network.hostsQuarantining("g"), []);
 });
 
 test("operators see which runners ended, seen by which entries", (t) => {
   const network = new Network(["a", "b"]);
-  network.at("a").recordCrash(endOf("i-1"));
-  const seenTwice = endOf("i-2");
+  network.at("a").recordCrash(crashOf("i-1"));
+  const seenTwice = crashOf("i-2");
   network.at("a").recordCrash(seenTwice);
   network.at("b").recordCrash(seenTwice);
-  network.at("b").recordCrash(endOf("i-3"));
-  const [held] = network.at("a").cases();
-  t.is(held.fingerprint, "f");
-  t.is(held.service, "s");
+  network.at("b").recordCrash(crashOf("i-3"));
+  const [quarantineCase] = network.at("a").cases();
+  t.is(quarantineCase.fingerprint, "f");
+  t.is(quarantineCase.service, "s");
   t.deepEqual(
-    held.ends.map(({ runner, seenBy }) => [runner, seenBy]),
+    quarantineCase.ends.map(({ runner, seenBy }) => [runner, seenBy]),
     [
       ["i-1", ["a"]],
       ["i-2", ["a", "b"]],
@@ -239,9 +242,9 @@
 // others do, or it would send it to three more.
 test("a request that is held for days is held by entries that start then", (t) => {
   const network = new Network(["a", "b"]);
-  network.cut.add("a b");
+  network.unlinkedPairs.add("a b");
   const day = 24 * 3_600_000;
-  const ends = [1, 2, 3].map((number) => {
+  const reports = [1, 2, 3].map((number) => {
     const endedAt = common.now() - 2 * day + 1_000 * number;
     return {
       life: `life-${number}`,
@@ -256,26 +259,26 @@
       ],
     };
   });
-  network.at("a").restore(ends);
-  t.deepEqual(network.holding(), ["a"]);
+  network.at("a").restore(reports);
+  t.deepEqual(network.hostsQuarantining(), ["a"]);
   network.link("a", "b");
-  t.deepEqual(network.holding(), ["a", "b"]);
-  network.at("b").recordCrash(endOf("r4", ["g"]));
-  t.deepEqual(network.holding(), ["a", "b"]);
+  t.deepEqual(network.hostsQuarantining(), ["a", "b"]);
+  network.at("b").recordCrash(crashOf("r4", ["g"]));
+  t.deepEqual(network.hostsQuarantining(), ["a", "b"]);
 });
 
 // After a loss of all entries the row is all that is known: without the end under a
 // trial, the next trial would come far too early.
 test("the row of a held request has the ends under trials too", (t) => {
-  const kept: number[] = [];
-  const one = quarantineFixture.createQuarantine({
+  const storedCounts: number[] = [];
+  const entry = quarantineFixture.createQuarantine({
     rows: {
-      store: (_, reports) => kept.push(reports.length),
+      store: (_, reports) => storedCounts.push(reports.length),
       remove: () => {},
     },
   });
-  for (const name of ["i-1", "i-2", "i-3"]) one.recordCrash(endOf(name));
-  one.recordCrash(endOf("i-4"));
-  one.recordCrash(endOf("i-5", ["g"]));
-  t.deepEqual(kept, [3, 4]);
+  for (const name of ["i-1", "i-2", "i-3"]) entry.recordCrash(crashOf(name));
+  entry.recordCrash(crashOf("i-4"));
+  entry.recordCrash(crashOf("i-5", ["g"]));
+  t.deepEqual(storedCounts, [3, 4]);
 });
--- a/packages/daemon/src/quarantine/suspect_ledger_test.ts
+++ b/packages/daemon/src/quarantine/suspect_ledger_test.ts
@@ -5,7 +5,7 @@
 const test = ava.default;
 
 /** A runner's end with one request under way for 50 ms. */
-function endAt(
+function crashAt(
   endedAt: number,
   change: Partial<suspectLedger.CrashReport> = {},
   fingerprints: string[] = ["f"],
@@ -27,7 +27,9 @@
   };
 }
 
-function cleared(report: suspectLedger.CrashReport): suspectLedger.CrashReport {
+function clearedReport(
+  report: suspectLedger.CrashReport,
+): suspectLedger.CrashReport {
   const suspicions = report.suspicions.map((one) => ({
     ...one,
     cleared: true,
@@ -44,51 +46,59 @@
 }
 
 test("three ends in turn hold a request", (t) => {
-  const ledger = ledgerOf([endAt(100), endAt(200)]);
+  const ledger = ledgerOf([crashAt(100), crashAt(200)]);
   t.deepEqual([...ledger.quarantined], []);
-  t.deepEqual(ledger.merge([endAt(300)], 1_000).quarantined, ["f"]);
+  t.deepEqual(ledger.merge([crashAt(300)], 1_000).quarantined, ["f"]);
   t.true(ledger.quarantined.has("f"));
 });
 
 // One crash that several entries see must not count as several.
 test("a runner's end counts once, whoever saw it and how often it is told", (t) => {
   const ledger = ledgerOf([
-    endAt(100),
-    endAt(100, { seenBy: ["entry-2"], endedAt: 104 }),
-    endAt(100),
-    endAt(200),
+    crashAt(100),
+    crashAt(100, { seenBy: ["entry-2"], endedAt: 104 }),
+    crashAt(100),
+    crashAt(200),
   ]);
   t.deepEqual([...ledger.quarantined], []);
   t.is(ledger.crashesUnder("f").length, 2);
   t.deepEqual(ledger.crashesUnder("f")[0].seenBy, ["entry-1", "entry-2"]);
-  t.false(ledger.merge([endAt(200)], 1_000).hasNewFacts);
+  t.false(ledger.merge([crashAt(200)], 1_000).hasNewFacts);
 });
 
 // A popular request is under way at ends that have nothing to do with it.
 test("a whole answer speaks for a request, whenever it is told", (t) => {
-  const ends = [endAt(100), endAt(200)];
-  const spoken = ledgerOf([...ends, ...ends.map(cleared), endAt(300)]);
-  t.deepEqual([...spoken.quarantined], []);
-  t.is(spoken.crashesUnder("f").length, 1);
-  const before = ledgerOf([...ends.map(cleared), ...ends, endAt(300)]);
-  t.is(before.crashesUnder("f").length, 1);
+  const crashes = [crashAt(100), crashAt(200)];
+  const clearedAfter = ledgerOf([
+    ...crashes,
+    ...crashes.map(clearedReport),
+    crashAt(300),
+  ]);
+  t.deepEqual([...clearedAfter.quarantined], []);
+  t.is(clearedAfter.crashesUnder("f").length, 1);
+  const clearedBefore = ledgerOf([
+    ...crashes.map(clearedReport),
+    ...crashes,
+    crashAt(300),
+  ]);
+  t.is(clearedBefore.crashesUnder("f").length, 1);
 });
 
 test("a held request is released when its ends are cleared or disproved", (t) => {
-  const ends = [endAt(100), endAt(200), endAt(300)];
-  const ledger = ledgerOf(ends);
-  t.deepEqual(ledger.merge([cleared(ends[0])], 1_000).released, ["f"]);
+  const crashes = [crashAt(100), crashAt(200), crashAt(300)];
+  const ledger = ledgerOf(crashes);
+  t.deepEqual(ledger.merge([clearedReport(crashes[0])], 1_000).released, ["f"]);
   t.deepEqual([...ledger.quarantined], []);
-  const disproof = endAt(300, { disproved: true }, []);
-  t.deepEqual(ledgerOf(ends).merge([disproof], 1_000).released, ["f"]);
+  const disproof = crashAt(300, { disproved: true }, []);
+  t.deepEqual(ledgerOf(crashes).merge([disproof], 1_000).released, ["f"]);
 });
 
 // Entries hear of ends in any order, some twice, over other entries.
 test("entries that heard the same know the same, in any order", (t) => {
   const reports = [100, 200, 300, 400].flatMap((at) => [
-    endAt(at, {}, ["f", `g-${at}`]),
-    endAt(at, { seenBy: ["entry-2"], endedAt: at + 3 }, ["h"]),
-    cleared(endAt(at, {}, [`g-${at}`])),
+    crashAt(at, {}, ["f", `g-${at}`]),
+    crashAt(at, { seenBy: ["entry-2"], endedAt: at + 3 }, ["h"]),
+    clearedReport(crashAt(at, {}, [`g-${at}`])),
   ]);
   const expected = ledgerOf(reports);
   fastCheck.assert(
@@ -103,9 +113,9 @@
         );
         for (const name of ["f", "h", "g-100"]) {
           const withOrderedHosts = (of: suspectLedger.SuspectLedger) =>
-            of.crashesUnder(name).map((end) => ({
-              ...end,
-              seenBy: [...end.seenBy].sort(),
+            of.crashesUnder(name).map((crash) => ({
+              ...crash,
+              seenBy: [...crash.seenBy].sort(),
             }));
           t.deepEqual(withOrderedHosts(ledger), withOrderedHosts(expected));
         }
@@ -117,20 +127,20 @@
 
 // Clocks differ between entries by the time of a message; all are to do the same.
 test("what another entry holds is held, if its ends are known", (t) => {
-  const overlapping = [endAt(100), endAt(101), endAt(102)];
+  const overlapping = [crashAt(100), crashAt(101), crashAt(102)];
   const ledger = ledgerOf(overlapping);
   t.deepEqual([...ledger.quarantined], []);
   t.deepEqual(ledger.merge([], 1_000, ["f"]).quarantined, ["f"]);
   t.true(ledger.quarantined.has("f"));
-  t.deepEqual(ledgerOf([endAt(100)]).merge([], 1_000, ["f"]).quarantined, []);
+  t.deepEqual(ledgerOf([crashAt(100)]).merge([], 1_000, ["f"]).quarantined, []);
 });
 
 // Everything under way is a suspect when all hosts are lost, again and again.
 test("a flood of suspects pushes out neither a held request nor memory", (t) => {
-  const ledger = ledgerOf([endAt(100), endAt(200), endAt(300)]);
+  const ledger = ledgerOf([crashAt(100), crashAt(200), crashAt(300)]);
   for (let number = 0; number < 200; number++) {
     const names = Array.from({ length: 500 }, (_, one) => `g-${number}-${one}`);
-    ledger.merge([endAt(1_000 + number, {}, names)], 2_000);
+    ledger.merge([crashAt(1_000 + number, {}, names)], 2_000);
   }
   t.true(ledger.quarantined.has("f"));
   t.is(ledger.crashesUnder("f").length, 3);
@@ -138,10 +148,10 @@
 });
 
 test("what was seen twice outlives what was seen once", (t) => {
-  const ledger = ledgerOf([endAt(100), endAt(200)]);
+  const ledger = ledgerOf([crashAt(100), crashAt(200)]);
   for (let number = 0; number < 60; number++) {
     const names = Array.from({ length: 500 }, (_, one) => `g-${number}-${one}`);
-    ledger.merge([endAt(1_000 + number, {}, names)], 2_000);
+    ledger.merge([crashAt(1_000 + number, {}, names)], 2_000);
   }
   t.is(ledger.crashesUnder("f").length, 2);
 });
@@ -149,12 +159,12 @@
 test("ends are forgotten after a day, but for those of held requests", (t) => {
   const day = 24 * 3_600_000;
   const ledger = ledgerOf([
-    endAt(100),
-    endAt(200),
-    endAt(300),
-    endAt(400, {}, ["g"]),
+    crashAt(100),
+    crashAt(200),
+    crashAt(300),
+    crashAt(400, {}, ["g"]),
   ]);
-  ledger.merge([endAt(day + 1_000, {}, ["h"])], day + 1_000);
+  ledger.merge([crashAt(day + 1_000, {}, ["h"])], day + 1_000);
   t.is(ledger.crashesUnder("g").length, 0);
   t.true(ledger.quarantined.has("f"));
   t.is(ledger.crashesUnder("f").length, 3);
@@ -164,17 +174,17 @@
 // the room of one that does so now.
 test("when too many are held, the one that nobody sent for longest is released", (t) => {
   const ledger = new suspectLedger.SuspectLedger();
-  const endUnder = (name: string, at: number) =>
-    ledger.merge([endAt(at, {}, [name])], at);
+  const crashUnder = (name: string, at: number) =>
+    ledger.merge([crashAt(at, {}, [name])], at);
   for (let number = 0; number < 1_000; number++) {
-    for (const end of [1, 2, 3])
-      endUnder(`g-${number}`, 1_000 * number + 100 * end);
+    for (const nth of [1, 2, 3])
+      crashUnder(`g-${number}`, 1_000 * number + 100 * nth);
   }
   t.is(ledger.quarantined.size, 1_000);
   const now = 1_000 * 1_000;
-  endUnder("f", now + 100);
-  endUnder("f", now + 200);
-  const change = endUnder("f", now + 300);
+  crashUnder("f", now + 100);
+  crashUnder("f", now + 200);
+  const change = crashUnder("f", now + 300);
   t.deepEqual(change.quarantined, ["f"]);
   t.deepEqual(change.released, ["g-0"]);
   t.true(ledger.quarantined.has("f"));
