--- a/packages/daemon/src/quarantine/crash_counts.ts
+++ b/packages/daemon/src/quarantine/crash_counts.ts
@@ -1,29 +1,43 @@
-/** A run that was under way when its runner ended, in milliseconds of one clock. */
+/**
+ * A run of a request that was under way when its runner crashed. Times are
+ * milliseconds of one clock.
+ */
 export interface CrashedRun {
   startedAt: number;
+  /** When the runner crashed. */
   endedAt: number;
 }
 
-/** What the ends of runners say of a request that was under way at each. */
+/** Counts of the runner crashes during which one request was under way. */
 export interface CrashCounts {
-  /** Runners that ended. */
+  /** Number of runners that crashed. */
   crashes: number;
-  /** The most of them whose runs followed each other: none began before the last ended. */
+  /**
+   * Size of the largest set of these runs that do not overlap: each run started
+   * only after the crash that ended the one before.
+   */
   sequential: number;
 }
 
-/** Evidence after which a request is sent to no runner more. */
+/**
+ * A request is quarantined, that is, sent to no runner, once both its counts
+ * reach these.
+ */
 export const QUARANTINE_THRESHOLD: CrashCounts = {
   crashes: 3,
   /*
-   * When many hosts are lost at once, a request that many callers send is under way at
-   * each of them, but those runs overlap. One that ends its runners is there when the
-   * next one ends after it was sent again.
+   * When many hosts fail at once, a request that many callers send is under way
+   * on each of them, but these runs overlap. A request that crashes its runners
+   * crashes the next runner when it is sent again, so its runs follow each
+   * other.
    */
   sequential: 2,
 };
 
-/** Weighs runs of one request, none of which has been followed by a whole answer. */
+/**
+ * Counts the crashes during runs of one request. The caller leaves out runs
+ * that a complete answer to the request has cleared.
+ */
 export function countCrashes(runs: Iterable<CrashedRun>): CrashCounts {
   const inOrder = [...runs].sort((left, right) => left.endedAt - right.endedAt);
   let sequential = 0;
@@ -36,7 +50,10 @@
   return { crashes: inOrder.length, sequential };
 }
 
-/** Whether the evidence proves that the request ends the runners that run it. */
+/**
+ * Whether both counts reach the threshold, so that the request is to be
+ * quarantined.
+ */
 export function reachesThreshold(
   counts: CrashCounts,
   min = QUARANTINE_THRESHOLD,
--- a/packages/daemon/src/quarantine/crash_detector.ts
+++ b/packages/daemon/src/quarantine/crash_detector.ts
@@ -3,42 +3,53 @@
 import * as runnerCrash from "./runner_crash.ts";
 
 /**
- * Time for which a run that broke off waits to be explained, in milliseconds. A runner
- * that fell silent is listed under a new life some seconds later.
+ * Time for which the detector retains an interrupted run whose cause is
+ * unknown. A runner that crashed together with its host is listed as a new
+ * incarnation only some seconds later.
  */
 const RUN_RETENTION_MILLISECONDS = 30_000;
 /**
- * Longest time for which the next attempt of a request waits for the look at the
- * runner of the last one, in milliseconds. It takes as long as making a connection.
+ * Longest time for which the next attempt of a request waits for the probe of
+ * the runner of the previous attempt. A probe takes the time of making a
+ * connection.
  */
 const MAX_PROBE_WAIT_MILLISECONDS = 60;
-/** Runs that wait to be explained, at most. */
+/** Largest number of interrupted runs that the detector retains. */
 const MAX_RETAINED_RUNS = 10_000;
 
-/** One life of a runner at which runs broke off that are not explained. */
+/**
+ * Interrupted runs of one incarnation of a runner, whose cause is not known
+ * yet.
+ */
 interface Investigation {
   runner: traffic.RunnerEntry;
+  /** When the first of the runs was interrupted, by the monotonic clock. */
   interruptedAt: number;
   runs: runnerCrash.InterruptedRun[];
-  /** The look that is under way. */
+  /** The probe of the runner's address that is under way, if any. */
   probe: Promise<void> | undefined;
 }
 
-/** What watching runners' ends needs. */
+/** What the crash detector needs of its entry. */
 export interface CrashDetectorParameters {
+  /** Tests whether anything accepts connections at the runner's address. */
   presenceOf: (runner: traffic.RunnerEntry) => Promise<common.Presence>;
   /** Whether the runner is listed and not leaving. */
   inUse: (runner: traffic.RunnerEntry) => boolean;
-  /** When a life of a runner ended, if any entry saw it. */
+  /**
+   * When an incarnation crashed; `undefined` if no entry has seen a crash of
+   * it.
+   */
   crashTimeOf: (incarnation: string) => number | undefined;
-  /** Told once for each run that a runner's end explains. */
+  /** Called with each crash; each run that a crash explains is passed once. */
   onCrash: (crash: runnerCrash.RunnerCrash) => void;
 }
 
 /**
- * Tells a runner's end from all else that breaks a run off. A lost link, a frozen host
- * and a group that lost another rank look the same from the run; only the address of a
- * runner that ended refuses connections, and is listed under a new life later.
+ * Tells crashes of runners from other causes that interrupt runs. A lost link,
+ * a frozen host and a group that lost another rank interrupt a run in the same
+ * way. But only the address of a crashed runner refuses connections, or later
+ * belongs to a new incarnation in the runner list.
  */
 export class CrashDetector {
   readonly #investigations = new Map<string, Investigation>();
@@ -47,8 +58,10 @@
   constructor(readonly parameters: CrashDetectorParameters) {}
 
   /**
-   * Takes a run that broke off; resolves when it is known whether its runner ended, or
-   * after a moment. A runner that is leaving ends as planned, and explains nothing.
+   * Finds out whether a run was interrupted because its runner crashed, and if
+   * so calls `onCrash`. Resolves after the probe of the runner, or after
+   * `MAX_PROBE_WAIT_MILLISECONDS`. A runner that is leaving stops as planned,
+   * so its stop is no crash.
    */
   async investigate(
     runner: traffic.RunnerEntry,
@@ -72,14 +85,20 @@
     await common.withTimeout(investigation.probe, MAX_PROBE_WAIT_MILLISECONDS);
   }
 
-  /** Another entry saw a life of a runner end, some time ago. */
+  /**
+   * Applies a crash that another entry has reported to the interrupted runs of
+   * this incarnation.
+   */
   applyReportedCrash(incarnation: string, endedAt: number): void {
     const investigation = this.#investigations.get(incarnation);
     if (!investigation) return;
     this.#confirmCrash(investigation, runnerCrash.CrashEvidence.Known, endedAt);
   }
 
-  /** Takes a new list: a runner whose address another life has now has ended. */
+  /**
+   * Applies a new runner list: where it has another incarnation at a runner's
+   * address, that runner has crashed.
+   */
   applyList(list: traffic.RunnerList): void {
     if (this.#runCount === 0) return;
     const incarnationByPlace = new Map(
@@ -121,7 +140,8 @@
         this.#close(investigation);
         return;
       case common.Presence.Silent:
-        // A host that is cut off or has lost power: the list will tell.
+        // The host is unreachable or has lost power. Only a later runner list
+        // can show which: a restarted runner is listed as a new incarnation.
         return;
     }
   }
@@ -136,7 +156,7 @@
     this.parameters.onCrash({ ...identityOf(runner), endedAt, evidence, runs });
   }
 
-  /** Forgets a runner with its runs; false if that was done before. */
+  /** Removes an investigation with its runs; false if it was removed before. */
   #close(investigation: Investigation): boolean {
     if (
       !this.#investigations.delete(traffic.incarnationOf(investigation.runner))
@@ -149,7 +169,7 @@
   #closeExpired(): void {
     const oldest = common.now() - RUN_RETENTION_MILLISECONDS;
     for (const investigation of this.#investigations.values()) {
-      // In order of time: what follows is younger.
+      // The map is in order of time, so all that follow are newer.
       if (investigation.interruptedAt > oldest) return;
       this.#close(investigation);
     }
--- a/packages/daemon/src/quarantine/crash_review.ts
+++ b/packages/daemon/src/quarantine/crash_review.ts
@@ -1,44 +1,63 @@
 import * as traffic from "@geraniumkeel/traffic";
 
-/** Time in which bytes that a runner sent before its end may still arrive. */
+/**
+ * Time after a crash in which bytes that the runner sent before it may still
+ * arrive.
+ */
 const LATE_BYTES_MILLISECONDS = 250;
 /**
- * Time after which a runner may be back under the identifier that it had, so that an
- * answer says nothing of its former life.
+ * Shortest time after a crash in which a runner may have restarted under the
+ * same identifier. From then on an answer does not show that the crashed
+ * incarnation runs.
  */
 const MIN_RESTART_MILLISECONDS = 1_500;
-/** Time after which a runner that ended is listed no more. */
+/**
+ * Time after which a crashed runner is no longer in the runner list, as its
+ * registration has expired.
+ */
 const LISTING_EXPIRY_MILLISECONDS = 10_000;
-/** Age of the list's proof up to which the list is as the store has it. */
+/**
+ * Age of the runner list's proof up to which the list counts as current. The
+ * proof is the moment at which the list was last certain to be the newest.
+ */
 const MAX_FRESH_PROOF_AGE_MILLISECONDS = 2_000;
-/** Ends older than this are reviewed no more. */
+/** Age from which on a crash is no longer compared with the runner list. */
 const MAX_REVIEW_AGE_MILLISECONDS = 60_000;
 
-/** What reviewing ends needs. */
+/** What the review of crashes needs of its entry. */
 export interface CrashReviewParameters {
+  /** Monotonic time in milliseconds. */
   clock: () => number;
-  /** When a life of a runner ended, if any entry saw it. */
+  /**
+   * When an incarnation crashed; `undefined` if no entry has seen a crash of
+   * it.
+   */
   crashTimeOf: (incarnation: string) => number | undefined;
-  /** Lives that ended from one moment to another. */
+  /** Incarnations that crashed between two times, both included. */
   crashedIncarnations: (earliest: number, latest: number) => string[];
-  /** Told of a life that had not ended. */
+  /** Called with an incarnation that was reported as crashed but still runs. */
   onDisproved: (incarnation: string) => void;
 }
 
 /**
- * Finds ends that were none. An entry that is cut off from a sound runner, in such a
- * way that its connections are refused, sees what it would see of one that ended; but
- * others go on hearing that runner, and it stays listed.
+ * Finds reports of crashes that did not happen. If an entry's connections to a
+ * healthy runner are refused, this looks to the entry like a crash. But other
+ * entries still receive answers from that runner, and it stays in the runner
+ * list.
  */
 export class CrashReview {
-  /** Since when the list has been as the store has it. */
+  /** Since when the runner list has been current without a gap. */
   #freshSince: number;
 
   constructor(readonly parameters: CrashReviewParameters) {
     this.#freshSince = parameters.clock();
   }
 
-  /** An answer of a runner has come. */
+  /**
+   * Reviews an answer that arrived from a runner: it disproves a crash if it
+   * came too late to be sent before the crash, and too early for a restarted
+   * runner.
+   */
   reviewAnswer(runner: traffic.RunnerEntry): void {
     const incarnation = traffic.incarnationOf(runner);
     const endedAt = this.parameters.crashTimeOf(incarnation);
@@ -48,11 +67,17 @@
     this.parameters.onDisproved(incarnation);
   }
 
-  /** Looks at the list; `proofAge` is how long a newer one may have gone unseen. */
+  /**
+   * Reviews the runner list: an incarnation that is still listed has not
+   * crashed. `proofAge` is the time in milliseconds since the proof of the
+   * list.
+   */
   reviewList(list: traffic.RunnerList, proofAge: number): void {
     const now = this.parameters.clock();
     if (proofAge > MAX_FRESH_PROOF_AGE_MILLISECONDS) this.#freshSince = now;
-    // While the store was away no registration lapsed.
+    // While the store is unreachable no registration expires, not even that of
+    // a crashed runner. So the list disproves a crash only after the list has
+    // been current for `LISTING_EXPIRY_MILLISECONDS`.
     const latest = now - LISTING_EXPIRY_MILLISECONDS;
     if (this.#freshSince > latest) return;
     const crashed = this.parameters.crashedIncarnations(
--- a/packages/daemon/src/quarantine/runner_crash.ts
+++ b/packages/daemon/src/quarantine/runner_crash.ts
@@ -1,34 +1,43 @@
-/** A run of a request that ended without an answer, and not because its caller left. */
+/**
+ * A run of a request that broke off without a complete answer, and not because
+ * its caller disconnected.
+ */
 export interface InterruptedRun {
-  /** The caller's own name for the request. */
+  /** The caller's own identifier of the request. */
   request: string;
   fingerprint: string;
-  /** When it was sent, by this process's monotonic clock. */
+  /** When it was sent to the runner, by this process's monotonic clock. */
   startedAt: number;
 }
 
-/** How it was found out that a runner has ended. */
+/** How an entry found out that a runner crashed. */
 export enum CrashEvidence {
-  /** Nothing accepts connections at its address any more. */
+  /** The host of the runner refuses connections to the runner's address. */
   Refused = "refused",
-  /** Another runner, or another life of it, is listed at its address. */
+  /** The runner list has another incarnation at the runner's address. */
   Replaced = "replaced",
-  /** Its end was known before, from this entry or another. */
+  /** This entry or another had recorded the crash before. */
   Known = "known",
-  /** The process on its host says so, or is itself another one now. */
+  /**
+   * The upstream beside the runner reports the crash, or was itself restarted.
+   */
   Reported = "reported",
 }
 
-/** A runner that ended, with runs of this entry that were under way there. */
+/**
+ * A crash of a runner: its process stopped unplanned while it ran requests of
+ * this entry.
+ */
 export interface RunnerCrash {
-  /** Names one life of the runner. */
+  /** Identifies the incarnation of the runner that crashed. */
   life: string;
   runner: string;
   service: string;
-  /** Version of its software; empty if it is not known. */
+  /** Version of the runner's software; empty if it is unknown. */
   version: string;
-  /** When it ended, by this process's monotonic clock. */
+  /** When the runner crashed, by this process's monotonic clock. */
   endedAt: number;
   evidence: CrashEvidence;
+  /** Runs of this entry that the crash interrupted. */
   runs: InterruptedRun[];
 }
