--- a/packages/daemon/src/quarantine/suspect_ledger.ts
+++ b/packages/daemon/src/quarantine/suspect_ledger.ts
@@ -1,49 +1,63 @@
 import * as crashCounts from "./crash_counts.ts";
 
-/** Runners' ends that are remembered, at most. */
+/** Largest number of crashes that the ledger retains. */
 const MAX_CRASHES = 4_000;
-/** Requests remembered for all ends together, at most. */
+/**
+ * Largest number of suspicions that the ledger retains for all crashes
+ * together.
+ */
 const MAX_SUSPICIONS = 20_000;
-/** Requests held at once, at most. */
+/** Largest number of requests in quarantine at once. */
 const MAX_QUARANTINED_REQUESTS = 1_000;
-/** Time for which a runner's end is remembered, in milliseconds: a day. */
+/**
+ * Time for which the ledger retains a crash: a day. Crashes for which a request
+ * is in quarantine are retained longer.
+ */
 const RETENTION_MILLISECONDS = 24 * 3_600_000;
 
-/** A request that was under way when a runner ended. */
+/** A request that was under way on a runner when the runner crashed. */
 export interface Suspicion {
   fingerprint: string;
-  /** When it was sent there, by this process's clock. */
+  /** When it was sent to the runner, by this process's monotonic clock. */
   startedAt: number;
-  /** A whole answer or an operator spoke for it since. */
+  /**
+   * Whether a complete answer or an operator has cleared the request of this
+   * crash since.
+   */
   cleared: boolean;
 }
 
-/** A runner's end and the requests that were under way there, as one entry tells it. */
+/**
+ * A report of a runner's crash with requests that were under way there. Entries
+ * exchange such reports.
+ */
 export interface CrashReport {
-  /** Names one life of the runner. */
+  /** Identifies the incarnation of the runner that crashed. */
   life: string;
   runner: string;
   service: string;
-  /** Version of its software; empty if it is not known. */
+  /** Version of the runner's software; empty if it is unknown. */
   version: string;
-  /** By this process's clock. */
+  /** When the runner crashed, by this process's monotonic clock. */
   endedAt: number;
-  /** Entries that saw it. */
+  /** Hosts of the entries that saw the crash. */
   seenBy: string[];
-  /** The runner was heard again: it had not ended. */
+  /**
+   * An entry has found that this incarnation still runs, so it had not crashed.
+   */
   disproved: boolean;
   suspicions: Suspicion[];
 }
 
-/** What a report changed. */
+/** What a merge of reports changed. Requests are named by fingerprint. */
 export interface LedgerChange {
-  /** Whether anything in it was news. */
+  /** Whether the reports changed what the ledger records about any request. */
   hasNewFacts: boolean;
-  /** Requests that are held from now on. */
+  /** Requests that the merge put in quarantine. */
   quarantined: string[];
-  /** Requests that stay held, of which more is known now. */
+  /** Requests that stay in quarantine and about which more is known now. */
   stillQuarantined: string[];
-  /** Requests that are held no more. */
+  /** Requests that the merge released from quarantine. */
   released: string[];
 }
 
@@ -57,7 +71,7 @@
   suspicions: Map<string, RecordedSuspicion>;
 }
 
-/** An end with the run of one request there. */
+/** A crash of a runner during a run of one request. */
 export interface CrashUnderRequest extends crashCounts.CrashedRun {
   runner: string;
   version: string;
@@ -65,29 +79,32 @@
 }
 
 /**
- * Ends of runners, as all entries report them, and the requests that were under way at
- * each. Reports are merged as sets: a report may come twice, by several ways and in any
- * order, and each runner's end counts once, whoever saw it. What is held for good
- * reason stays when a flood of other suspects comes.
+ * Records the crashes of runners that all entries report, and the requests that
+ * were under way at each, and decides which requests are quarantined. Reports
+ * are merged as sets: a report may arrive several times, over several entries
+ * and in any order, and each crash counts once, whichever entries saw it. A
+ * flood of other suspicions does not push out quarantined requests.
  */
 export class SuspectLedger {
+  /** By incarnation, in order of arrival. */
   readonly #crashes = new Map<string, RecordedCrash>();
   readonly #crashesByFingerprint = new Map<string, Set<RecordedCrash>>();
-  /** Requests that are proved to end their runners. */
+  /** Fingerprints of the requests in quarantine. */
   readonly #quarantined = new Set<string>();
+  /** Number of suspicions of all crashes. */
   #suspicions = 0;
 
-  /** Requests that are held. */
+  /** Fingerprints of the requests in quarantine. */
   get quarantined(): ReadonlySet<string> {
     return this.#quarantined;
   }
 
-  /** Whether any request is under suspicion. */
+  /** Whether the ledger has no suspicion of any request. */
   get isEmpty(): boolean {
     return this.#crashesByFingerprint.size === 0;
   }
 
-  /** Numbers for the state dump. */
+  /** Counts for the state dump: crashes, suspected requests, suspicions. */
   get size(): { ends: number; suspects: number; suspicions: number } {
     return {
       ends: this.#crashes.size,
@@ -96,13 +113,19 @@
     };
   }
 
-  /** When a life of a runner ended, if it is known to have. */
+  /**
+   * When an incarnation crashed; `undefined` if no crash is recorded, or if it
+   * was disproved.
+   */
   crashTimeOf(incarnation: string): number | undefined {
     const crash = this.#crashes.get(incarnation);
     return crash && !crash.disproved ? crash.endedAt : undefined;
   }
 
-  /** Ends under which a request was under way, and for which nothing cleared it. */
+  /**
+   * Returns the crashes during runs of a request, in order of time, without
+   * those that are disproved and those of which the request is cleared.
+   */
   crashesUnder(fingerprint: string): CrashUnderRequest[] {
     const crashes: CrashUnderRequest[] = [];
     for (const crash of this.#crashesByFingerprint.get(fingerprint) ?? []) {
@@ -121,19 +144,28 @@
     return crashes.sort((left, right) => left.endedAt - right.endedAt);
   }
 
-  /** Service whose runners ended under a request. */
+  /**
+   * Service whose runners crashed during runs of a request; empty if there were
+   * none.
+   */
   serviceOf(fingerprint: string): string {
     const [first] = this.#crashesByFingerprint.get(fingerprint) ?? [];
     return first?.service ?? "";
   }
 
-  /** What is known of one life's end, but for the requests. */
+  /**
+   * Returns the crash of an incarnation without its suspicions; `undefined` if
+   * none is recorded.
+   */
   crashReportOf(incarnation: string): CrashReport | undefined {
     const crash = this.#crashes.get(incarnation);
     return crash && { ...crash, seenBy: [...crash.seenBy], suspicions: [] };
   }
 
-  /** Ends that are not disproved, from `earliest` to `latest`. */
+  /**
+   * Incarnations that crashed from `earliest` to `latest`, without disproved
+   * crashes.
+   */
   crashedIncarnations(earliest: number, latest: number): string[] {
     return [...this.#crashes.values()]
       .filter(({ disproved }) => !disproved)
@@ -141,13 +173,20 @@
       .map(({ life }) => life);
   }
 
-  /** Reports that tell all that is known of a request. */
+  /**
+   * Returns all crashes during runs of a request, with the suspicion of this
+   * request only.
+   */
   reportsOn(fingerprint: string): CrashReport[] {
     const crashes = this.#crashesByFingerprint.get(fingerprint) ?? [];
     return [...crashes].map((crash) => reportOf(crash, fingerprint));
   }
 
-  /** Reports of requests that were under way at the most ends, and at the latest. */
+  /**
+   * Returns reports with at most `maxSuspicions` suspicions: those of requests
+   * that were under way at the most crashes come first, then those of the
+   * latest crashes.
+   */
   mostSuspected(maxSuspicions: number): CrashReport[] {
     const pairs = [...this.#crashesByFingerprint].flatMap(
       ([fingerprint, crashes]) =>
@@ -173,8 +212,11 @@
   }
 
   /**
-   * Takes reports, of this entry or of another, and what the other holds: clocks differ,
-   * and all entries are to do the same.
+   * Merges reports of this entry or of another. `quarantinedElsewhere` are
+   * fingerprints of requests that the other entry has in quarantine. The ledger
+   * quarantines them as well if it knows enough crashes, even if the runs
+   * overlap by its own clock: clocks differ, and all entries are to treat a
+   * request alike.
    */
   merge(
     reports: CrashReport[],
@@ -190,7 +232,7 @@
     const elsewhere = new Set(quarantinedElsewhere);
     const touched = new Set<string>();
     for (const report of reports) {
-      if (!isRetained(report, now, elsewhere)) continue;
+      if (!isRelevant(report, now, elsewhere)) continue;
       for (const fingerprint of this.#apply(report)) touched.add(fingerprint);
     }
     change.hasNewFacts = touched.size > 0;
@@ -201,7 +243,10 @@
     return change;
   }
 
-  /** Takes one report; the requests of which it says anything new. */
+  /**
+   * Applies one report; returns the fingerprints of the requests about which it
+   * contains anything new.
+   */
   #apply(report: CrashReport): Set<string> {
     const touched = new Set<string>();
     const crash = this.#crashes.get(report.life) ?? this.#record(report);
@@ -230,7 +275,10 @@
     return crash;
   }
 
-  /** Notes a request under way at an end; whether that is news. */
+  /**
+   * Records that a request was under way at a crash; returns whether that was
+   * new.
+   */
   #addSuspicion(crash: RecordedCrash, suspicion: Suspicion): boolean {
     const { fingerprint, startedAt, cleared } = suspicion;
     const known = crash.suspicions.get(fingerprint);
@@ -247,6 +295,7 @@
     return true;
   }
 
+  /** Quarantines or releases a request after its crashes have changed. */
   #reevaluate(fingerprint: string, change: LedgerChange): void {
     const crashes = this.crashesUnder(fingerprint);
     if (this.#quarantined.has(fingerprint)) {
@@ -261,6 +310,10 @@
     this.#quarantine(fingerprint, change);
   }
 
+  /**
+   * Quarantines a request that another entry has in quarantine, if enough
+   * crashes are known here.
+   */
   #quarantineAsElsewhere(fingerprint: string, change: LedgerChange): void {
     if (this.#quarantined.has(fingerprint)) return;
     if (
@@ -271,7 +324,10 @@
     this.#quarantine(fingerprint, change);
   }
 
-  /** Holds a request; if there are too many, the one that nobody sent for longest goes. */
+  /**
+   * Puts a request in quarantine. If there are too many, releases the one whose
+   * last crash is the oldest: callers have probably stopped sending it.
+   */
   #quarantine(fingerprint: string, change: LedgerChange): void {
     this.#quarantined.add(fingerprint);
     const evicted = this.#requestToEvict();
@@ -281,6 +337,7 @@
     if (evicted !== undefined) change.released.push(evicted);
   }
 
+  /** The request to release if too many are in quarantine, else `undefined`. */
   #requestToEvict(): string | undefined {
     if (this.#quarantined.size <= MAX_QUARANTINED_REQUESTS) return undefined;
     const byLastCrash = [...this.#quarantined].map((fingerprint) => {
@@ -292,7 +349,11 @@
     return byLastCrash[0].fingerprint;
   }
 
-  /** Keeps to the bounds: what is old goes, then what was seen once, oldest first. */
+  /**
+   * Removes old crashes, and the oldest if there are too many. If there are
+   * still too many suspicions, removes those of requests with a single crash,
+   * then others, oldest first. Quarantined requests stay.
+   */
   #enforceLimits(now: number): void {
     const oldest = now - RETENTION_MILLISECONDS;
     for (const crash of this.#crashes.values()) {
@@ -333,8 +394,11 @@
   }
 }
 
-/** Whether a report is young enough, or speaks against a request that is held. */
-function isRetained(
+/**
+ * Whether a crash is recent enough to be recorded, or concerns a request that
+ * the sender of the report has in quarantine.
+ */
+function isRelevant(
   { endedAt, suspicions }: CrashReport,
   now: number,
   quarantined: ReadonlySet<string>,
@@ -343,7 +407,7 @@
   return suspicions.some(({ fingerprint }) => quarantined.has(fingerprint));
 }
 
-/** What is known of one request at an end. */
+/** Returns a crash with the suspicion of one request only. */
 function reportOf(crash: RecordedCrash, fingerprint: string): CrashReport {
   const known = crash.suspicions.get(fingerprint);
   const suspicions = known ? [{ fingerprint, ...known }] : [];
--- a/packages/daemon/src/quarantine/suspicion_limit.ts
+++ b/packages/daemon/src/quarantine/suspicion_limit.ts
@@ -1,19 +1,23 @@
 import * as common from "@geraniumkeel/common";
 import type * as runnerCrash from "./runner_crash.ts";
 
-/** Requests that an entry puts under suspicion in a second, at most. */
+/** Largest number of runs that an entry reports as suspicions in one window. */
 const MAX_SUSPICIONS_PER_WINDOW = 500;
 const WINDOW_MILLISECONDS = 1_000;
 
 /**
- * Bounds what an entry tells of: when all hosts are lost at once, each request of a
- * moment is under way somewhere.
+ * Limits how many suspicions an entry reports to the others. When all hosts
+ * fail at once, every request under way is interrupted by a crash.
  */
 export class SuspicionLimit {
   #windowStart = -Infinity;
   #selectedInWindow = 0;
 
-  /** As many of the runs as may be told of now, those of most weight first. */
+  /**
+   * Returns as many of the runs as may be reported now and counts them against
+   * the limit. Runs of requests that were under way at the most crashes come
+   * first.
+   */
   selectRuns(
     runs: runnerCrash.InterruptedRun[],
     crashCountOf: (fingerprint: string) => number,
--- a/packages/daemon/src/quarantine/suspicions_message.ts
+++ b/packages/daemon/src/quarantine/suspicions_message.ts
@@ -2,7 +2,10 @@
 import * as wire from "@geraniumkeel/wire";
 import type * as suspectLedger from "./suspect_ledger.ts";
 
-/** What entries tell each other of ends, and of the requests that they hold. */
+/**
+ * Builds the message in which an entry reports crashes, and the fingerprints of
+ * requests that it has quarantined, to other entries.
+ */
 export function toMessage(
   reports: suspectLedger.CrashReport[],
   quarantined: string[],
@@ -15,7 +18,10 @@
   };
 }
 
-/** A report as it is told: no two clocks are compared, so times travel as ages. */
+/**
+ * Converts a report for the wire. The clocks of two processes cannot be
+ * compared, so times are sent as ages in milliseconds.
+ */
 function toReportedCrash(
   report: suspectLedger.CrashReport,
   now: number,
@@ -32,7 +38,10 @@
   };
 }
 
-/** A report as it was told, by this process's clock. */
+/**
+ * Converts a received report: ages become times by this process's clock. `now`
+ * is the time of receipt.
+ */
 export function toReport(
   reported: wire.ReportedCrash,
   now: number,
--- a/packages/daemon/src/quarantine/trial_status.ts
+++ b/packages/daemon/src/quarantine/trial_status.ts
@@ -1,33 +1,44 @@
 import type * as suspectLedger from "./suspect_ledger.ts";
 
 /**
- * Time for which a request is held at first, in milliseconds. One that was at three ends
- * by chance is free again after it; one that ends its runners takes a fourth along.
+ * Time from the last crash until a request is first tried again. A request that
+ * was under way at three crashes by chance runs again after this time; one that
+ * crashes its runners crashes a fourth.
  */
 const FIRST_QUARANTINE_MILLISECONDS = 30_000;
-/** Shortest time for which it is held once a trial has failed: two hours. */
+/**
+ * Shortest time from the last crash until the next trial once a trial has
+ * failed: two hours.
+ */
 const MIN_LATER_QUARANTINE_MILLISECONDS = 2 * 3_600_000;
 /**
- * How many times the span from its first to its last end it is held then. A runner that
- * ends on trial makes the span longer, so trials become rare by themselves.
+ * After a failed trial the time until the next one is at least this many times
+ * the span from the first to the last crash. Each failed trial lengthens the
+ * span, so trials become rarer.
  */
 const LATER_QUARANTINE_SPANS = 3;
 
-/** Whether a held request may be tried again. */
+/** Whether a quarantined request may be tried again. */
 export type TrialStatus =
+  /** It is sent to no runner for this time. */
   | { kind: "held"; millisecondsLeft: number }
-  /** One run at a time may show whether it is mended. */
+  /** One run at a time may show whether it still crashes runners. */
   | { kind: "on-trial" };
 
 /**
- * The standing of a held request: it is tried again after a time that grows with each
- * trial that fails, or once no runner of its service has a version under which runners
- * ended.
+ * Returns whether a quarantined request may be tried again. It may after a time
+ * that grows with each failed trial, or once no runner of its service has a
+ * version that crashed.
  */
 export function trialStatusOf(parameters: {
+  /** Crashes during runs of the request, in order of time. */
   crashes: suspectLedger.CrashUnderRequest[];
-  /** Versions of the runners that the service has now; empty if it has none. */
+  /**
+   * Versions of the runners that the service has now; empty if it has no
+   * runners or their versions are unknown.
+   */
   versionsInUse: ReadonlySet<string>;
+  /** Current time in milliseconds, by the clock of `crashes`. */
   now: number;
 }): TrialStatus {
   const { crashes, versionsInUse, now } = parameters;
@@ -39,6 +50,11 @@
   return { kind: "held", millisecondsLeft };
 }
 
+/**
+ * Time from the last crash to the next trial. A crash at least
+ * `FIRST_QUARANTINE_MILLISECONDS` after the crash that put the request in
+ * quarantine counts as a failed trial.
+ */
 function quarantineMillisecondsOf(
   crashes: suspectLedger.CrashUnderRequest[],
 ): number {
@@ -55,6 +71,10 @@
   );
 }
 
+/**
+ * Whether no runner of the service has a version that crashed. Without runners,
+ * or with unknown versions, nothing shows that the version was replaced.
+ */
 function areVersionsReplaced(
   crashes: suspectLedger.CrashUnderRequest[],
   versionsInUse: ReadonlySet<string>,
--- a/packages/daemon/src/quarantine/watched_requests.ts
+++ b/packages/daemon/src/quarantine/watched_requests.ts
@@ -1,17 +1,22 @@
 import * as common from "@geraniumkeel/common";
 
-/** A request on its way, as far as the quarantine needs it. */
+/** What the quarantine needs of a request that is under way at this entry. */
 export interface WatchedRequest {
   service: string;
-  /** Name of the request by what it asks for; worked out when it is asked for. */
+  /** Fingerprint of the request's content; computed at its first use. */
   readonly fingerprint: string;
-  /** Ends the attempt under way, unless the caller has some of its answer. */
+  /**
+   * Stops the attempt that is under way, unless the caller has received a part
+   * of its answer.
+   */
   stop(): void;
 }
 
 /**
- * Time from the beginning of one trial to the next, in milliseconds, if it shows nothing:
- * its runner had no room, or its caller left.
+ * Shortest time from the start of one trial to the start of the next. It
+ * matters for a trial that shows nothing because its runner had no room or its
+ * caller disconnected: without it, each request that arrives would start
+ * another trial.
  */
 const MIN_TRIAL_INTERVAL_MILLISECONDS = 10_000;
 
@@ -20,19 +25,24 @@
   startedAt: number;
 }
 
-/** Requests under way at this entry, and those among them that are on trial. */
+/**
+ * Requests that are under way at this entry, and trials of quarantined
+ * requests.
+ */
 export class WatchedRequests {
   readonly #underWay = new Set<WatchedRequest>();
-  /** The last trial of each fingerprint. */
+  /** By fingerprint, the last trial. */
   readonly #trials = new Map<string, Trial>();
 
-  /** Watches a request while it is under way; the returned function ends that. */
+  /**
+   * Watches a request that is under way, until the returned function is called.
+   */
   watch(request: WatchedRequest): () => void {
     this.#underWay.add(request);
     return () => this.#underWay.delete(request);
   }
 
-  /** Stops all requests under way that ask for the same. */
+  /** Stops all requests under way for a service that have this fingerprint. */
   stop(service: string, fingerprint: string): void {
     for (const request of this.#underWay) {
       if (request.service !== service) continue;
@@ -40,7 +50,10 @@
     }
   }
 
-  /** Whether one that asks for this is on trial, or was just now. */
+  /**
+   * Whether a request with this fingerprint is on trial, or started a trial
+   * within `MIN_TRIAL_INTERVAL_MILLISECONDS`.
+   */
   hasTrial(fingerprint: string): boolean {
     const trial = this.#trials.get(fingerprint);
     if (!trial) return false;
@@ -48,18 +61,21 @@
     return common.now() - trial.startedAt < MIN_TRIAL_INTERVAL_MILLISECONDS;
   }
 
-  /** Whether this very request is on trial. */
+  /**
+   * Whether the last trial of this fingerprint runs this request, and not
+   * another one with the same fingerprint.
+   */
   isOnTrial(request: WatchedRequest): boolean {
     return this.#trials.get(request.fingerprint)?.request === request;
   }
 
-  /** Puts a request on trial for as long as it is under way. */
+  /** Starts a trial, which lasts while the request is under way. */
   startTrial(request: WatchedRequest): void {
     const trial = { request, startedAt: common.now() };
     this.#trials.set(request.fingerprint, trial);
   }
 
-  /** Forgets the trial of a request that is held no more. */
+  /** Removes the trial of a request that was released from quarantine. */
   forgetTrial(fingerprint: string): void {
     this.#trials.delete(fingerprint);
   }
