--- a/packages/daemon/src/quarantine/fingerprint.ts
+++ b/packages/daemon/src/quarantine/fingerprint.ts
@@ -1,8 +1,11 @@
 import * as crypto from "node:crypto";
 
-/** What makes two requests the same, whatever their callers name them. */
+/**
+ * The parts of a request that decide whether two requests count as the same.
+ * The identifiers that callers give their requests are not among them.
+ */
 export interface RequestIdentity {
-  /** Account of the caller; empty where none is asked for. */
+  /** Account of the caller; empty if none is required. */
   account: string;
   method: string;
   host: string;
@@ -11,20 +14,24 @@
   body: Uint8Array;
 }
 
-/** Bytes of a hash that are kept: no caller can find two requests that share them. */
+/**
+ * Bytes of the hash that a fingerprint contains. With so many no caller can
+ * find two requests that have the same fingerprint.
+ */
 const FINGERPRINT_BYTES = 16;
 
 /**
- * Name of a request by what it asks for, 22 characters. It holds the account, so that
- * nobody can have requests of another account taken for bad ones.
+ * Returns the fingerprint of a request, 22 characters that depend on its
+ * content. The account is part of the content, so that no caller can get
+ * requests of another account quarantined.
  */
 export function fingerprintOf(identity: RequestIdentity): string {
   return digestOf(startHash(identity));
 }
 
 /**
- * A fingerprint that is worked out when it is first asked for: nothing asks while no
- * runner ends.
+ * A fingerprint that is computed at its first use. While no runner crashes,
+ * nothing uses it, so requests cost no hashing.
  */
 export class LazyFingerprint {
   #value: string | undefined;
@@ -32,13 +39,20 @@
 
   constructor(readonly identity: RequestIdentity) {}
 
-  /** The fingerprint; of a body that is followed, all that has come of it so far. */
+  /**
+   * The fingerprint. While `hashRest` hashes a body, it covers the part that
+   * has arrived so far.
+   */
   get value(): string {
     this.#value ??= digestOf(this.#hash ?? startHash(this.identity));
     return this.#value;
   }
 
-  /** Counts the rest of a body in, as it passes; `identity` has its beginning. */
+  /**
+   * Passes on the rest of a body and hashes it; `identity.body` is the
+   * beginning of the body. What arrives after the first use of `value` is
+   * passed on without being hashed.
+   */
   async *hashRest(
     rest: AsyncIterator<Uint8Array>,
   ): AsyncGenerator<Uint8Array, void, void> {
--- a/packages/daemon/src/quarantine/quarantine.ts
+++ b/packages/daemon/src/quarantine/quarantine.ts
@@ -8,29 +8,42 @@
 import * as suspicionsMessage from "./suspicions_message.ts";
 import * as watchedRequests from "./watched_requests.ts";
 
-/** Runs that one log line names at most. */
+/** Largest number of runs that one log line lists. */
 const MAX_LOGGED_RUNS = 16;
-/** When a request is to come back while another one like it is on trial. */
+/**
+ * Time after which a caller is to retry a request that may be tried, but not
+ * here and now: its fingerprint is on trial, or another entry runs its trials.
+ */
 const TRIAL_RETRY_MILLISECONDS = 1_000;
-/** How long a request that was held is remembered after that, in milliseconds. */
+/**
+ * Time for which a released request is remembered, so that `restoreRows` can
+ * remove its row if the table service brings the row back.
+ */
 const RELEASE_RETENTION_MILLISECONDS = 60_000;
-/** Suspicions that an entry tells one that was just linked, at most. */
+/** Largest number of suspicions that an entry reports to a newly linked one. */
 const MAX_INITIAL_SUSPICIONS = 2_000;
 
 /** What the quarantine needs of its entry. */
 export interface QuarantineParameters {
+  /** Host of this entry. */
   host: string;
-  /** Entries that take requests, this one among them. */
+  /** Hosts of the entries that accept requests, this one included. */
   entries: () => string[];
-  /** Versions of the runners that a service has. */
+  /**
+   * Versions of the runners that a service has now; empty if it has no runners
+   * or their versions are unknown.
+   */
   versionsOf: (service: string) => ReadonlySet<string>;
-  /** Tells other entries, all but one. */
+  /** Sends a message to all linked entries except one. */
   send: (message: wire.Suspicions, except?: string) => void;
-  /** Whether what is new here is passed on: not all entries are linked. */
+  /**
+   * Whether this entry relays new reports that it receives; needed if some
+   * pairs of entries are not linked.
+   */
   relays: boolean;
-  /** Told of each runner's end that another entry saw. */
+  /** Called with each crash that another entry reports. */
   onReportedCrash: (incarnation: string, endedAt: number) => void;
-  /** Held requests in the platform's table service. */
+  /** Rows of quarantined requests in the platform's table service. */
   rows: {
     store: (fingerprint: string, reports: suspectLedger.CrashReport[]) => void;
     remove: (fingerprint: string) => void;
@@ -40,25 +53,29 @@
 }
 
 /**
- * Keeps requests from runners that would end under them. Each entry tells the others
- * which requests were under way when a runner ended; a request for which several ends
- * speak, and no whole answer since, is sent to no runner more.
+ * Quarantines requests that crash the runners that run them. Each entry reports
+ * to the others which requests were under way when a runner crashed. A request
+ * that was under way at several crashes, with no complete answer since, is sent
+ * to no runner, except for trials that show whether it still crashes runners.
  */
 export class Quarantine {
   readonly #ledger = new suspectLedger.SuspectLedger();
   readonly #watched = new watchedRequests.WatchedRequests();
   readonly #limit = new suspicionLimit.SuspicionLimit();
-  /** Requests that are held no more, and since when. */
+  /** By fingerprint, when a request was released from quarantine. */
   readonly #released = new Map<string, number>();
 
   constructor(readonly parameters: QuarantineParameters) {}
 
-  /** Watches a request while it is under way; the returned function ends that. */
+  /**
+   * Watches a request that is under way, until the returned function is called.
+   * If the request is quarantined meanwhile, the quarantine stops it.
+   */
   watch(request: watchedRequests.WatchedRequest): () => void {
     return this.#watched.watch(request);
   }
 
-  /** Whether any request for a service is held. */
+  /** Whether any request for a service is in quarantine. */
   hasQuarantined(service: string): boolean {
     for (const fingerprint of this.#ledger.quarantined) {
       if (this.#ledger.serviceOf(fingerprint) === service) return true;
@@ -66,7 +83,10 @@
     return false;
   }
 
-  /** Milliseconds for which a request is sent to no runner; 0 if it may be now. */
+  /**
+   * Milliseconds until a request may be sent to a runner; 0 if it may be sent
+   * now.
+   */
   remainingMilliseconds(request: watchedRequests.WatchedRequest): number {
     if (this.#ledger.quarantined.size === 0) return 0;
     const { fingerprint } = request;
@@ -81,8 +101,9 @@
   }
 
   /**
-   * The same just before a request is sent. One that is sent on trial is the only one
-   * for as long as it is under way.
+   * Returns the same as `remainingMilliseconds`; called just before a request
+   * is sent. If a quarantined request may be sent, this starts its trial: while
+   * it is under way, no other request with its fingerprint may be sent.
    */
   admit(request: watchedRequests.WatchedRequest): number {
     const milliseconds = this.remainingMilliseconds(request);
@@ -94,25 +115,35 @@
     return 0;
   }
 
-  /** A runner of a version answered a request whole: it does not end its runners. */
+  /**
+   * Records that a runner with this version gave a complete answer to a
+   * request. This clears the request of crashes of the same version. The answer
+   * to a trial clears it of all crashes.
+   */
   answered(request: watchedRequests.WatchedRequest, version: string): void {
     if (this.#ledger.isEmpty) return;
     const wasOnTrial = this.#watched.isOnTrial(request);
-    // Another version may run well what ends the runners of this one.
+    // A request that one version completes may still crash another.
     this.#clear(
       request.fingerprint,
       (report) => wasOnTrial || report.version === version,
     );
   }
 
-  /** Takes an operator's word that a request is sound; false if it is not held. */
+  /**
+   * Releases a request that an operator considers harmless; returns false if it
+   * is not in quarantine.
+   */
   lift(fingerprint: string): boolean {
     if (!this.#ledger.quarantined.has(fingerprint)) return false;
     this.#clear(fingerprint, () => true);
     return true;
   }
 
-  /** Takes what the table service kept while no entry was there. */
+  /**
+   * Restores quarantined requests from the rows of the table service, which
+   * remain while no entry runs.
+   */
   restore(reports: suspectLedger.CrashReport[]): void {
     const quarantined = reports.flatMap(({ suspicions }) =>
       suspicions.map(({ fingerprint }) => fingerprint),
@@ -121,9 +152,9 @@
   }
 
   /**
-   * Writes rows again that the table service has lost, and removes those that it has
-   * again: it came back from a copy. The number of rows that it was for this entry to
-   * write.
+   * Repairs the rows after the table service was restored from a copy: writes
+   * those that it has lost, and removes those of released requests. Returns the
+   * number of rows that this entry owns and writes or removes.
    */
   restoreRows(): number {
     const now = common.now();
@@ -140,7 +171,10 @@
     return quarantined.length + released.length;
   }
 
-  /** A runner ended while requests of this entry were under way there. */
+  /**
+   * Records a crash of a runner that interrupted requests of this entry, and
+   * reports it to the other entries.
+   */
   recordCrash(crash: runnerCrash.RunnerCrash): void {
     this.#logCrash(crash);
     const { life, runner, service, version, endedAt } = crash;
@@ -166,7 +200,10 @@
     if (change.hasNewFacts) this.#send([report], change.quarantined);
   }
 
-  /** A runner was heard after its end was told: it had not ended. */
+  /**
+   * Records that an incarnation still runs, so that its reported crash did not
+   * happen, and reports this to the other entries.
+   */
   disproveCrash(incarnation: string): void {
     const report = this.#ledger.crashReportOf(incarnation);
     if (!report || report.disproved) return;
@@ -178,17 +215,27 @@
     this.parameters.logger.event(code, { runner, seenBy });
   }
 
-  /** Lives of runners that ended from one moment to another. */
+  /**
+   * Incarnations that crashed from `earliest` to `latest`, without disproved
+   * crashes.
+   */
   crashedIncarnations(earliest: number, latest: number): string[] {
     return this.#ledger.crashedIncarnations(earliest, latest);
   }
 
-  /** When a life of a runner ended, if any entry saw it. */
+  /**
+   * When an incarnation crashed; `undefined` if no entry has seen a crash of
+   * it, or if it was disproved.
+   */
   crashTimeOf(incarnation: string): number | undefined {
     return this.#ledger.crashTimeOf(incarnation);
   }
 
-  /** Takes what another entry tells. */
+  /**
+   * Applies a message of another entry. Sends other entries what they may not
+   * know: reports to relay, and all crashes of requests that the message put in
+   * quarantine.
+   */
   receive(message: wire.Suspicions, from: string): void {
     const now = common.now();
     const reports = message.ends.map((reported) =>
@@ -196,7 +243,8 @@
     );
     const change = this.#merge(reports, message.held);
     const relayed = this.parameters.relays && change.hasNewFacts ? reports : [];
-    // The sender may lack the ends that others saw, and with them the proof.
+    // The sender may lack crashes that other entries saw, and so may not know
+    // that a request is to be quarantined.
     const senderKnows = change.quarantined.every((fingerprint) =>
       message.held.includes(fingerprint),
     );
@@ -206,14 +254,17 @@
     }
   }
 
-  /** What weighs most, for an entry that was just linked; `undefined` if nothing. */
+  /**
+   * Returns the message for a newly linked entry, with the most suspected
+   * requests; `undefined` if no request is suspected.
+   */
   initialMessage(): wire.Suspicions | undefined {
     const reports = this.#ledger.mostSuspected(MAX_INITIAL_SUSPICIONS);
     if (reports.length === 0) return undefined;
     return suspicionsMessage.toMessage(reports, [...this.#ledger.quarantined]);
   }
 
-  /** Requests that are held, for operators. */
+  /** Describes the quarantined requests for operators. */
   cases(): quarantineCase.QuarantineCase[] {
     return [...this.#ledger.quarantined].map((fingerprint) =>
       quarantineCase.caseOf({
@@ -225,7 +276,7 @@
     );
   }
 
-  /** What the state dump says of it. */
+  /** The quarantine's part of the state dump. */
   describe(): unknown {
     return { ...this.#ledger.size, held: this.cases() };
   }
@@ -241,19 +292,24 @@
   }
 
   /**
-   * One attempt at a time in all the system, and one only of each request, so that a
-   * failed trial costs one runner.
+   * Whether this entry may start a trial of a request. One entry runs the
+   * trials of a request, one at a time, so that a failed trial crashes one
+   * runner only.
    */
   #mayStartTrial(fingerprint: string): boolean {
     return this.#isOwner(fingerprint) && !this.#watched.hasTrial(fingerprint);
   }
 
-  /** Whether this entry is the one that acts for all on a request. */
+  /**
+   * Whether this entry is the one that writes the row of a request and runs its
+   * trials.
+   */
   #isOwner(fingerprint: string): boolean {
     const { host, entries } = this.parameters;
     return common.rendezvous(fingerprint, entries()) === host;
   }
 
+  /** Clears a request of all crashes for which `appliesTo` returns true. */
   #clear(
     fingerprint: string,
     appliesTo: (report: { version: string }) => boolean,
@@ -311,7 +367,11 @@
     this.parameters.rows.store(fingerprint, reports);
   }
 
-  /** The chosen entry may be cut off, so who found the reason drops rows as well. */
+  /**
+   * Removes the rows of released requests. The entry that owns a row may be
+   * unreachable, so the entry that found the reason for the release removes it
+   * as well.
+   */
   #removeRows({ released }: suspectLedger.LedgerChange): void {
     for (const fingerprint of released)
       this.parameters.rows.remove(fingerprint);
@@ -325,7 +385,10 @@
     this.parameters.logger.event(code, { fingerprint });
   }
 
-  /** Tells reports, and of requests that are held all that speaks against them. */
+  /**
+   * Sends reports, and for each quarantined request all crashes during its
+   * runs, so that receivers can quarantine it as well.
+   */
   #send(
     reports: suspectLedger.CrashReport[],
     quarantined: string[],
--- a/packages/daemon/src/quarantine/quarantine_case.ts
+++ b/packages/daemon/src/quarantine/quarantine_case.ts
@@ -3,18 +3,19 @@
 import type * as trialStatus from "./trial_status.ts";
 import type * as suspectLedger from "./suspect_ledger.ts";
 
-/** A request in quarantine, as operators see it. */
+/** A quarantined request, as operators see it. */
 export interface QuarantineCase {
   fingerprint: string;
   service: string;
-  /** Time of day since which it is held. */
+  /** Time of day of the crash that put it in quarantine. */
   since: string;
-  /** Milliseconds until it is tried again; 0 if that may be now. */
+  /** Milliseconds until it may be tried again; 0 if it may be now. */
   millisecondsLeft: number;
+  /** Crashes of runners that ran the request; `at` is a time of day. */
   ends: { runner: string; version: string; at: string; seenBy: string[] }[];
 }
 
-/** What operators are told of a held request. */
+/** Describes a quarantined request for operators. */
 export function caseOf(parameters: {
   fingerprint: string;
   service: string;
@@ -35,7 +36,7 @@
   };
 }
 
-/** Time of day of a moment of this process's monotonic clock. */
+/** Converts a time of this process's monotonic clock to a time of day. */
 function timeOfDay(moment: number): string {
   return new Date(Date.now() - (common.now() - moment)).toISOString();
 }
--- a/packages/daemon/src/quarantine/quarantine_fixture.ts
+++ b/packages/daemon/src/quarantine/quarantine_fixture.ts
@@ -1,7 +1,10 @@
 import * as common from "@geraniumkeel/common";
 import * as quarantine from "./quarantine.ts";
 
-/** A quarantine of one entry, alone unless a test says otherwise. */
+/**
+ * Creates the quarantine of an entry that has no other entries, unless `change`
+ * says otherwise.
+ */
 export function createQuarantine(
   change: Partial<quarantine.QuarantineParameters> = {},
 ): quarantine.Quarantine {
--- a/packages/daemon/src/quarantine/quarantine_rows.ts
+++ b/packages/daemon/src/quarantine/quarantine_rows.ts
@@ -3,28 +3,35 @@
 import type * as suspectLedger from "./suspect_ledger.ts";
 
 const KEY_PREFIX = "quarantine/";
-/** First key behind all keys with the prefix. */
+/** First key after all keys that begin with the prefix. */
 const KEY_RANGE_END = "quarantine0";
-/** Rows read at once; no more requests are held. */
+/**
+ * Largest number of rows in one read. No more requests are in quarantine at
+ * once.
+ */
 const MAX_ROWS = 1_000;
 const FIRST_PAUSE_MILLISECONDS = 100;
 const MAX_PAUSE_MILLISECONDS = 5_000;
-/** Time for which a write is tried again. */
+/** Time for which a failed write is retried. */
 const WRITE_TIMEOUT_MILLISECONDS = 60_000;
 
-/** A runner's end in a row: times of day, as no monotonic clock outlives its process. */
+/** A runner's crash in a row. */
 interface StoredCrash {
   life: string;
   runner: string;
   service: string;
   version: string;
+  /**
+   * Time of day of the crash, in milliseconds since the Unix epoch: a time of a
+   * monotonic clock means nothing to another process.
+   */
   endedAt: number;
-  /** Milliseconds from the run's start to the end. */
+  /** Milliseconds from the start of the run to the crash. */
   ranFor: number;
   seenBy: string[];
 }
 
-/** What keeping held requests in the table service needs. */
+/** What the rows of the quarantine need of their process. */
 export interface QuarantineRowsParameters {
   table: backingServices.TableService;
   random: common.Random;
@@ -32,17 +39,20 @@
 }
 
 /**
- * Held requests in the platform's table service, a row each. Entries tell each other
- * all else, but when all of them lose power at once none is left who knows, and the
- * same request would take as many runners along again.
+ * Stores quarantined requests in the platform's table service, one row each.
+ * Entries report crashes to each other, but retain them only in memory. If all
+ * entries lost power at once, then without the rows the same request would
+ * crash as many runners again.
  */
 export class QuarantineRows {
-  /** By key, what is still to be written; a task is at each. */
+  /**
+   * By key, the write that is not committed yet. One task per key works on it.
+   */
   readonly #pending = new Map<string, backingServices.Write>();
 
   constructor(readonly parameters: QuarantineRowsParameters) {}
 
-  /** Writes what speaks against a request. */
+  /** Stores the crashes for which a request is in quarantine. */
   async store(
     fingerprint: string,
     reports: suspectLedger.CrashReport[],
@@ -55,14 +65,17 @@
     );
   }
 
-  /** Removes a request that is held no more. */
+  /** Removes the row of a request that was released from quarantine. */
   async remove(fingerprint: string, signal: AbortSignal): Promise<void> {
     const key = KEY_PREFIX + fingerprint;
     const kind = backingServices.WriteKind.Delete;
     await this.#write({ kind, key }, signal);
   }
 
-  /** What the rows say, once the table service tells; `undefined` if it never did. */
+  /**
+   * Reads all rows as reports, and retries until the table service answers.
+   * Returns `undefined` if `signal` aborts before that.
+   */
   async read(
     signal: AbortSignal,
   ): Promise<suspectLedger.CrashReport[] | undefined> {
@@ -86,7 +99,10 @@
     return undefined;
   }
 
-  /** One task at a time writes a row, until the last that was wanted is there. */
+  /**
+   * Replaces the pending write of a row. If no task writes this row yet, this
+   * call does so until the last pending write is committed.
+   */
   async #write(
     write: backingServices.Write,
     signal: AbortSignal,
@@ -97,7 +113,11 @@
     if (!isBeingWritten) await this.#writePending(key, signal);
   }
 
-  /** Repeating a write does no harm, so one whose answer was lost is repeated. */
+  /**
+   * Writes a row with retries, and logs an event if they fail for
+   * `WRITE_TIMEOUT_MILLISECONDS`. Repeating a write does no harm, so a write
+   * whose answer was lost is repeated.
+   */
   async #writePending(key: string, signal: AbortSignal): Promise<void> {
     const { table, logger } = this.parameters;
     const backOff = this.#backOff();
@@ -107,7 +127,7 @@
       if (!write) return;
       const outcome = await table.transact({ conditions: [], writes: [write] });
       if (outcome.kind === backingServices.OutcomeKind.Committed) {
-        // Something else may have been wanted meanwhile.
+        // A newer write of the row may have replaced this one meanwhile.
         if (this.#pending.get(key) === write) this.#pending.delete(key);
         continue;
       }
@@ -130,7 +150,10 @@
   }
 }
 
-/** Rows that are written while requests go on. */
+/**
+ * Returns functions that store and remove rows in background tasks, so that no
+ * request waits for the table service.
+ */
 export function inBackground(
   rows: QuarantineRows,
   lifeCycle: common.LifeCycle,
@@ -150,6 +173,10 @@
   };
 }
 
+/**
+ * Converts a report to the crashes of a row, without cleared suspicions and
+ * disproved crashes.
+ */
 function toStored(report: suspectLedger.CrashReport): StoredCrash[] {
   const { life, runner, service, version, seenBy, endedAt } = report;
   return report.suspicions
@@ -165,6 +192,9 @@
     }));
 }
 
+/**
+ * Converts the crashes of a row to reports by this process's monotonic clock.
+ */
 function fromStored(
   fingerprint: string,
   stored: StoredCrash[],
