--- a/packages/daemon/src/quarantine/crash_counts_test.ts
+++ b/packages/daemon/src/quarantine/crash_counts_test.ts
@@ -8,8 +8,8 @@
   return { startedAt, endedAt };
 }
 
-// One request sent again after each end: three runners in turn.
-test("runs that follow each other prove it with the third", (t) => {
+// A request is sent again after each crash and crashes three runners in turn.
+test("three crashes during runs that follow each other reach the threshold", (t) => {
   const runs = [run(0, 100), run(110, 200), run(4_000, 4_100)];
   t.deepEqual(crashCounts.countCrashes(runs), { crashes: 3, sequential: 3 });
   t.false(
@@ -18,15 +18,17 @@
   t.true(crashCounts.reachesThreshold(crashCounts.countCrashes(runs)));
 });
 
-// The same request sent twice at once, and twice again.
-test("runs of two copies at once prove it with the third", (t) => {
+// Two copies of a request are sent at once and crash a runner each. Later the
+// request is sent again and crashes a third runner.
+test("two crashes during overlapping runs and one in a later run reach the threshold", (t) => {
   const runs = [run(0, 100), run(20, 110), run(4_000, 4_100)];
   t.deepEqual(crashCounts.countCrashes(runs), { crashes: 3, sequential: 2 });
   t.true(crashCounts.reachesThreshold(crashCounts.countCrashes(runs)));
 });
 
-// Many hosts are lost at once while a popular request is under way at each of them.
-test("runs that were all under way at one moment prove nothing", (t) => {
+// Many hosts fail at once while a request that many callers send is under way
+// on each of them.
+test("crashes during runs that all overlap do not reach the threshold", (t) => {
   const runs = Array.from({ length: 50 }, (_, index) =>
     run(index, 1_000 + index),
   );
@@ -34,7 +36,7 @@
   t.false(crashCounts.reachesThreshold(crashCounts.countCrashes(runs)));
 });
 
-test("the order in which runs are told does not matter", (t) => {
+test("the counts do not depend on the order of the runs", (t) => {
   const runArbitrary = fastCheck.tuple(
     fastCheck.integer({ min: 0, max: 1_000 }),
     fastCheck.integer({ min: 0, max: 500 }),
--- a/packages/daemon/src/quarantine/crash_detector_test.ts
+++ b/packages/daemon/src/quarantine/crash_detector_test.ts
@@ -13,21 +13,21 @@
   return { request, fingerprint: "f", startedAt: common.now() };
 }
 
-interface Scene {
+interface Fixture {
   detector: crashDetector.CrashDetector;
   crashes: runnerCrash.RunnerCrash[];
   probes: number;
 }
 
-function sceneOf(presence: common.Presence, inUse = true): Scene {
+function createFixture(presence: common.Presence, inUse = true): Fixture {
   const crashes: runnerCrash.RunnerCrash[] = [];
   const crashTimes = new Map<string, number>();
-  const scene: Scene = {
+  const fixture: Fixture = {
     crashes,
     probes: 0,
     detector: new crashDetector.CrashDetector({
       presenceOf: async () => {
-        scene.probes++;
+        fixture.probes++;
         return presence;
       },
       inUse: () => inUse,
@@ -38,83 +38,87 @@
       },
     }),
   };
-  return scene;
+  return fixture;
 }
 
-test("a runner whose address refuses connections has ended", async (t) => {
-  const scene = sceneOf(common.Presence.Refused);
+test("a runner whose address refuses connections has crashed", async (t) => {
+  const fixture = createFixture(common.Presence.Refused);
   const runs = [runOf("q"), runOf("r")];
   await Promise.all(
     runs.map((run) =>
-      scene.detector.investigate(runnerFixture.createRunner(), run),
+      fixture.detector.investigate(runnerFixture.createRunner(), run),
     ),
   );
-  t.is(scene.probes, 1);
-  t.is(scene.crashes.length, 1);
+  t.is(fixture.probes, 1);
+  t.is(fixture.crashes.length, 1);
   t.deepEqual(
-    scene.crashes[0].runs.map(({ request }) => request),
+    fixture.crashes[0].runs.map(({ request }) => request),
     ["q", "r"],
   );
-  t.is(scene.crashes[0].evidence, runnerCrash.CrashEvidence.Refused);
+  t.is(fixture.crashes[0].evidence, runnerCrash.CrashEvidence.Refused);
 });
 
-test("a run that is given up after its runner's end is explained by it", async (t) => {
-  const scene = sceneOf(common.Presence.Refused);
-  await scene.detector.investigate(runnerFixture.createRunner(), runOf("q"));
-  await scene.detector.investigate(runnerFixture.createRunner(), runOf("late"));
-  t.is(scene.probes, 1);
-  t.is(scene.crashes.length, 2);
-  t.is(scene.crashes[1].runs[0].request, "late");
-  t.is(scene.crashes[1].endedAt, scene.crashes[0].endedAt);
-  t.is(scene.crashes[1].evidence, runnerCrash.CrashEvidence.Known);
+test("a run that is abandoned after its runner's crash counts as interrupted by this crash", async (t) => {
+  const fixture = createFixture(common.Presence.Refused);
+  await fixture.detector.investigate(runnerFixture.createRunner(), runOf("q"));
+  await fixture.detector.investigate(
+    runnerFixture.createRunner(),
+    runOf("late"),
+  );
+  t.is(fixture.probes, 1);
+  t.is(fixture.crashes.length, 2);
+  t.is(fixture.crashes[1].runs[0].request, "late");
+  t.is(fixture.crashes[1].endedAt, fixture.crashes[0].endedAt);
+  t.is(fixture.crashes[1].evidence, runnerCrash.CrashEvidence.Known);
 });
 
-// An answer that a sound runner broke off must not count as the runner's end.
-test("a runner that accepts connections has not ended", async (t) => {
-  const scene = sceneOf(common.Presence.Listening);
-  await scene.detector.investigate(runnerFixture.createRunner(), runOf());
+// An answer that a healthy runner broke off must not count as a crash.
+test("a runner that accepts connections has not crashed", async (t) => {
+  const fixture = createFixture(common.Presence.Listening);
+  await fixture.detector.investigate(runnerFixture.createRunner(), runOf());
   const runners = [
     runnerFixture.createRunner({ identifier: "i-2", bornAt: 9 }),
   ];
-  scene.detector.applyList({ version: 2, runners });
-  t.deepEqual(scene.crashes, []);
+  fixture.detector.applyList({ version: 2, runners });
+  t.deepEqual(fixture.crashes, []);
 });
 
-// A link that is cut, a host that froze and one that lost power say nothing; only the
-// last one's runner is listed under a new life afterwards.
-test("a silent runner has ended once another life is listed in its place", async (t) => {
-  const scene = sceneOf(common.Presence.Silent);
-  await scene.detector.investigate(runnerFixture.createRunner(), runOf());
-  scene.detector.applyList({ version: 2, runners: [] });
-  scene.detector.applyList({
+// Over a broken link, from a frozen host and from a host without power no
+// answer to a probe arrives. Only in the last case is a new incarnation of the
+// runner listed afterwards.
+test("an unreachable runner has crashed once another incarnation is listed at its address", async (t) => {
+  const fixture = createFixture(common.Presence.Silent);
+  await fixture.detector.investigate(runnerFixture.createRunner(), runOf());
+  fixture.detector.applyList({ version: 2, runners: [] });
+  fixture.detector.applyList({
     version: 3,
     runners: [runnerFixture.createRunner()],
   });
-  t.deepEqual(scene.crashes, []);
-  scene.detector.applyList({
+  t.deepEqual(fixture.crashes, []);
+  fixture.detector.applyList({
     version: 4,
     runners: [runnerFixture.createRunner({ bornAt: 2 })],
   });
-  t.is(scene.crashes.length, 1);
-  t.is(scene.crashes[0].evidence, runnerCrash.CrashEvidence.Replaced);
+  t.is(fixture.crashes.length, 1);
+  t.is(fixture.crashes[0].evidence, runnerCrash.CrashEvidence.Replaced);
 });
 
-// Runners that leave as planned may cut off what they still run.
-test("the end of a runner that is leaving explains nothing", async (t) => {
-  const scene = sceneOf(common.Presence.Refused, false);
-  await scene.detector.investigate(runnerFixture.createRunner(), runOf());
-  t.is(scene.probes, 0);
-  t.deepEqual(scene.crashes, []);
+// Runners that leave as planned may break off their remaining runs.
+test("the stop of a runner that is leaving does not count as a crash", async (t) => {
+  const fixture = createFixture(common.Presence.Refused, false);
+  await fixture.detector.investigate(runnerFixture.createRunner(), runOf());
+  t.is(fixture.probes, 0);
+  t.deepEqual(fixture.crashes, []);
 });
 
-test("what another entry saw explains the runs that broke off here", async (t) => {
-  const scene = sceneOf(common.Presence.Silent);
+test("a crash that another entry reports counts for the runs that were interrupted here", async (t) => {
+  const fixture = createFixture(common.Presence.Silent);
   const run = runOf();
-  await scene.detector.investigate(runnerFixture.createRunner(), run);
+  await fixture.detector.investigate(runnerFixture.createRunner(), run);
   const endedAt = common.now() - 5;
-  scene.detector.applyReportedCrash(INCARNATION, endedAt);
-  scene.detector.applyReportedCrash(INCARNATION, endedAt);
-  t.is(scene.crashes.length, 1);
-  t.is(scene.crashes[0].endedAt, endedAt);
-  t.is(scene.crashes[0].evidence, runnerCrash.CrashEvidence.Known);
+  fixture.detector.applyReportedCrash(INCARNATION, endedAt);
+  fixture.detector.applyReportedCrash(INCARNATION, endedAt);
+  t.is(fixture.crashes.length, 1);
+  t.is(fixture.crashes[0].endedAt, endedAt);
+  t.is(fixture.crashes[0].evidence, runnerCrash.CrashEvidence.Known);
 });
--- a/packages/daemon/src/quarantine/crash_review_test.ts
+++ b/packages/daemon/src/quarantine/crash_review_test.ts
@@ -8,15 +8,18 @@
 const RUNNER = runnerFixture.createRunner();
 const LIST: traffic.RunnerList = { version: 1, runners: [RUNNER] };
 
-interface Scene {
+interface Fixture {
   review: crashReview.CrashReview;
   disproved: string[];
-  /** Has time pass. */
+  /** Advances the clock. */
   advance: (milliseconds: number) => void;
 }
 
-/** A process that saw the runner end at 0, and began then. */
-function sceneOf(): Scene {
+/**
+ * A review in a process that started at time 0 and recorded a crash of the
+ * runner at the same time.
+ */
+function createFixture(): Fixture {
   let now = 0;
   const disproved: string[] = [];
   const incarnation = traffic.incarnationOf(RUNNER);
@@ -34,31 +37,31 @@
   };
 }
 
-// A cut between one entry and a runner must not pass for the runner's end.
-test("a runner that answers after its end had not ended", (t) => {
-  const { review, disproved, advance } = sceneOf();
+// A broken link between an entry and a runner must not count as a crash.
+test("an answer after a reported crash disproves the crash", (t) => {
+  const { review, disproved, advance } = createFixture();
   advance(500);
   review.reviewAnswer(RUNNER);
   t.deepEqual(disproved, [traffic.incarnationOf(RUNNER)]);
 });
 
-test("an answer that was on its way at the end says nothing", (t) => {
-  const { review, disproved, advance } = sceneOf();
+test("an answer that arrives just after a crash does not disprove it", (t) => {
+  const { review, disproved, advance } = createFixture();
   advance(50);
   review.reviewAnswer(RUNNER);
   t.deepEqual(disproved, []);
 });
 
-// A runner may start again under the identifier that it had.
-test("an answer seconds later may be of another life", (t) => {
-  const { review, disproved, advance } = sceneOf();
+// The runner may have restarted under the same identifier.
+test("an answer seconds after a crash does not disprove it", (t) => {
+  const { review, disproved, advance } = createFixture();
   advance(3_000);
   review.reviewAnswer(RUNNER);
   t.deepEqual(disproved, []);
 });
 
-test("a runner that stays listed had not ended", (t) => {
-  const { review, disproved, advance } = sceneOf();
+test("a runner that stays listed disproves its crash", (t) => {
+  const { review, disproved, advance } = createFixture();
   advance(5_000);
   review.reviewList(LIST, 100);
   t.deepEqual(disproved, []);
@@ -72,9 +75,10 @@
   t.deepEqual(disproved, [traffic.incarnationOf(RUNNER)]);
 });
 
-// No registration lapses while the store is away, a dead runner's neither.
-test("a list that was not kept says nothing of who is alive", (t) => {
-  const { review, disproved, advance } = sceneOf();
+// While the store is unreachable no registration expires, not even that of a
+// crashed runner.
+test("a list that was not current for long enough does not disprove a crash", (t) => {
+  const { review, disproved, advance } = createFixture();
   advance(8_000);
   review.reviewList(LIST, 5_000);
   advance(6_000);
--- a/packages/daemon/src/quarantine/fingerprint_test.ts
+++ b/packages/daemon/src/quarantine/fingerprint_test.ts
@@ -22,8 +22,9 @@
   t.is(one.length, 22);
 });
 
-// A caller must not get another account's requests refused, nor lose its own other ones.
-test("any part of a request makes it another one", (t) => {
+// A caller must get neither requests of another account refused, nor its own
+// different requests.
+test("requests that differ in any part have different fingerprints", (t) => {
   const changes: Partial<fingerprint.RequestIdentity>[] = [
     {},
     { account: "b" },
--- a/packages/daemon/src/quarantine/quarantine_rows_test.ts
+++ b/packages/daemon/src/quarantine/quarantine_rows_test.ts
@@ -7,7 +7,7 @@
 
 const test = ava.default;
 
-/** A table in memory that fails the first writes. */
+/** A table in memory whose first `failures` writes fail. */
 class MemoryTable implements backingServices.TableService {
   readonly epoch = new backingServices.TableEpoch(new common.RecordingLogger());
   readonly rows = new Map<string, string>();
@@ -62,21 +62,22 @@
 
 const { signal } = new AbortController();
 
-test("what was written is read again, with the time that has passed", async (t) => {
+test("a stored crash is read back with its time and the duration of the run", async (t) => {
   const rows = createRows(new MemoryTable(0));
   const report = reportOf(1);
   await rows.store("f", [report], signal);
   const [read] = (await rows.read(signal)) ?? [];
   const { endedAt, suspicions } = report;
   t.deepEqual({ ...read, endedAt, suspicions }, report);
-  // Times of day are whole milliseconds.
+  // Times of day are rounded to milliseconds.
   t.true(Math.abs(read.endedAt - endedAt) < 1_000);
   t.is(read.suspicions[0].fingerprint, "f");
   t.is(Math.round(read.endedAt - read.suspicions[0].startedAt), 50);
 });
 
-// A write that is tried again must not bring back a request that was released since.
-test("a row that is dropped while its write is tried again stays away", async (t) => {
+// A retried write must not restore the row of a request that was released in
+// the meantime.
+test("a row that is removed while its write is retried stays removed", async (t) => {
   const table = new MemoryTable(1);
   const rows = createRows(table);
   const stored = rows.store("f", [reportOf(1)], signal);
@@ -84,7 +85,7 @@
   t.is(table.rows.size, 0);
 });
 
-test("the last of several writes of a row is the one that stays", async (t) => {
+test("of several writes of a row the last one is stored", async (t) => {
   const rows = createRows(new MemoryTable(1));
   const reports = [reportOf(1), reportOf(2), reportOf(3)];
   const first = rows.store("f", reports.slice(0, 1), signal);
--- a/packages/daemon/src/quarantine/quarantine_test.ts
+++ b/packages/daemon/src/quarantine/quarantine_test.ts
@@ -8,12 +8,15 @@
 
 const test = ava.default;
 
-/** Entries that tell each other what they see, over the links that there are. */
+/**
+ * The quarantines of several entries, which report to each other over their
+ * links.
+ */
 class Network {
   readonly entries = new Map<string, quarantine.Quarantine>();
   readonly rows = new Set<string>();
   readonly sent: { from: string; to: string; message: wire.Suspicions }[] = [];
-  /** Pairs without a link. */
+  /** Pairs of entries without a link, as "a b". */
   readonly unlinkedPairs = new Set<string>();
 
   constructor(hosts: string[], relays = false) {
@@ -38,7 +41,7 @@
     return entry;
   }
 
-  /** Hosts of the entries that hold a request. */
+  /** Hosts of the entries that have a request in quarantine. */
   hostsQuarantining(fingerprint = "f"): string[] {
     return [...this.entries]
       .filter(([, entry]) =>
@@ -47,7 +50,7 @@
       .map(([host]) => host);
   }
 
-  /** Has two entries link anew. */
+  /** Links two entries again, which then exchange their initial messages. */
   link(one: string, other: string): void {
     this.unlinkedPairs.delete(`${one} ${other}`);
     this.unlinkedPairs.delete(`${other} ${one}`);
@@ -77,7 +80,10 @@
 
 let clock = common.now() - 20_000;
 
-/** A runner's end with requests under way, later than all before. */
+/**
+ * A crash that interrupts a run of each of these requests, 100 ms after the
+ * last one.
+ */
 function crashOf(
   name: string,
   fingerprints: string[] = ["f"],
@@ -105,7 +111,7 @@
   return { service: "s", fingerprint: "f", stop: () => {}, ...change };
 }
 
-test("ends that three entries saw are put together by all", (t) => {
+test("all entries quarantine a request after crashes that three entries saw", (t) => {
   const network = new Network(["a", "b", "c"]);
   network.at("a").recordCrash(crashOf("i-1"));
   network.at("b").recordCrash(crashOf("i-2"));
@@ -115,8 +121,8 @@
   t.is(network.rows.size, 1);
 });
 
-// Without it entries that do not hear each other go on sending the request.
-test("an entry that hears two others tells each what the other saw", (t) => {
+// Otherwise entries without a link to each other would still send the request.
+test("two entries without a link learn of each other's crashes through a third", (t) => {
   const network = new Network(["a", "b", "c"]);
   network.unlinkedPairs.add("a b");
   network.at("a").recordCrash(crashOf("i-1"));
@@ -125,7 +131,7 @@
   t.deepEqual(network.hostsQuarantining(), ["a", "b", "c"]);
 });
 
-test("an entry that was cut off learns when it is linked again", (t) => {
+test("an entry without links learns of a quarantine when it is linked again", (t) => {
   const network = new Network(["a", "b", "c"]);
   network.unlinkedPairs.add("a c").add("b c");
   for (const name of ["i-1", "i-2", "i-3"]) {
@@ -136,8 +142,8 @@
   t.deepEqual(network.hostsQuarantining(), ["a", "b", "c"]);
 });
 
-// Entries of a large system are linked with few others.
-test("where not all are linked each passes on what is new to it", (t) => {
+// In a large system an entry is linked with only a few others.
+test("entries that relay reports all quarantine a request, though some pairs are not linked", (t) => {
   const network = new Network(["a", "b", "c", "d"], true);
   network.unlinkedPairs.add("a c").add("a d").add("b d");
   network.at("a").recordCrash(crashOf("i-1"));
@@ -146,7 +152,7 @@
   t.deepEqual(network.hostsQuarantining(), ["a", "b", "c", "d"]);
 });
 
-test("nothing is told while no runner ends, and little when one does", (t) => {
+test("nothing is sent before a crash, and the report of a crash has no identifiers of requests", (t) => {
   const network = new Network(["a", "b", "c"]);
   network.at("a").answered(requestOf(), "1");
   t.is(network.at("a").initialMessage(), undefined);
@@ -156,21 +162,24 @@
   t.false(JSON.stringify(network.sent[0].message).includes("of f"));
 });
 
-// All requests of a moment are under way somewhere when all hosts are lost.
-test("what is told of one second is bounded, the likeliest first", (t) => {
+// If all hosts fail, every request that is under way is interrupted by a crash.
+test("suspicions reported in one second are limited, the most suspected first", (t) => {
   const network = new Network(["a", "b"]);
   network.at("a").recordCrash(crashOf("i-1"));
   const many = Array.from({ length: 2_000 }, (_, number) => `g-${number}`);
   network.at("a").recordCrash(crashOf("i-2", [...many, "f"]));
   network.at("a").recordCrash(crashOf("i-3", many));
-  const suspicions = network.sent.flatMap(({ message }) =>
+  const reportedSuspicions = network.sent.flatMap(({ message }) =>
     message.ends.flatMap(({ suspicions }) => suspicions),
   );
-  t.true(suspicions.length <= 500);
-  t.is(suspicions.filter(({ fingerprint }) => fingerprint === "f").length, 2);
+  t.true(reportedSuspicions.length <= 500);
+  t.is(
+    reportedSuspicions.filter(({ fingerprint }) => fingerprint === "f").length,
+    2,
+  );
 });
 
-test("a request that waits for its answer is ended when it is held", (t) => {
+test("a request that is under way is stopped when it is quarantined", (t) => {
   const network = new Network(["a", "b"]);
   let stopped = 0;
   const waiting = requestOf({ stop: () => stopped++ });
@@ -186,20 +195,20 @@
   t.is(network.at("b").remainingMilliseconds(other), 0);
 });
 
-test("an operator's word lifts a quarantine everywhere, and for good", (t) => {
+test("an operator's release lifts a quarantine at all entries, and late reports do not restore it", (t) => {
   const network = new Network(["a", "b", "c"]);
   const crashes = ["i-1", "i-2", "i-3"].map((name) => crashOf(name));
   for (const crash of crashes) network.at("a").recordCrash(crash);
   t.true(network.at("b").lift("f"));
   t.deepEqual(network.hostsQuarantining(), []);
   t.is(network.rows.size, 0);
-  // What an entry tells late brings nothing back.
+  // A late report does not quarantine the request again.
   network.at("c").recordCrash(crashes[2]);
   t.deepEqual(network.hostsQuarantining(), []);
   t.false(network.at("b").lift("f"));
 });
 
-test("a runner that is heard again had not ended, for any entry", (t) => {
+test("a disproved crash releases the request at all entries", (t) => {
   const network = new Network(["a", "b", "c"]);
   for (const name of ["i-1", "i-2", "i-3"]) {
     network.at("a").recordCrash(crashOf(name));
@@ -208,8 +217,8 @@
   t.deepEqual(network.hostsQuarantining(), []);
 });
 
-// A caller must not lose other requests of its own, nor others theirs.
-test("only the request that was at all the ends is held", (t) => {
+// Other requests, of this caller or others, must still be served.
+test("only the request that was under way at all crashes is quarantined", (t) => {
   const network = new Network(["a", "b"]);
   network.at("a").recordCrash(crashOf("i-1", ["f", "g"]));
   network.at("a").recordCrash(crashOf("i-2", ["f", "h"]));
@@ -218,7 +227,7 @@
   t.deepEqual(network.hostsQuarantining("g"), []);
 });
 
-test("operators see which runners ended, seen by which entries", (t) => {
+test("a case lists which runners crashed and which entries saw it", (t) => {
   const network = new Network(["a", "b"]);
   network.at("a").recordCrash(crashOf("i-1"));
   const seenTwice = crashOf("i-2");
@@ -238,9 +247,10 @@
   );
 });
 
-// An entry that starts a day after a request ended its runners must hold it as the
-// others do, or it would send it to three more.
-test("a request that is held for days is held by entries that start then", (t) => {
+// An entry that starts a day after a request crashed its runners must
+// quarantine it as the others do. Otherwise it would send the request to three
+// more runners.
+test("entries that start days later quarantine a request that still is in quarantine", (t) => {
   const network = new Network(["a", "b"]);
   network.unlinkedPairs.add("a b");
   const day = 24 * 3_600_000;
@@ -267,9 +277,9 @@
   t.deepEqual(network.hostsQuarantining(), ["a", "b"]);
 });
 
-// After a loss of all entries the row is all that is known: without the end under a
-// trial, the next trial would come far too early.
-test("the row of a held request has the ends under trials too", (t) => {
+// After all entries have lost their memory only the row is left. Without the
+// crash during a trial, the next trial would start far too early.
+test("the row of a quarantined request includes crashes during trials", (t) => {
   const storedCounts: number[] = [];
   const entry = quarantineFixture.createQuarantine({
     rows: {
--- a/packages/daemon/src/quarantine/suspect_ledger_test.ts
+++ b/packages/daemon/src/quarantine/suspect_ledger_test.ts
@@ -4,7 +4,7 @@
 
 const test = ava.default;
 
-/** A runner's end with one request under way for 50 ms. */
+/** A crash during runs of these requests, each under way for 50 ms. */
 function crashAt(
   endedAt: number,
   change: Partial<suspectLedger.CrashReport> = {},
@@ -45,15 +45,15 @@
   return ledger;
 }
 
-test("three ends in turn hold a request", (t) => {
+test("three crashes in turn quarantine a request", (t) => {
   const ledger = ledgerOf([crashAt(100), crashAt(200)]);
   t.deepEqual([...ledger.quarantined], []);
   t.deepEqual(ledger.merge([crashAt(300)], 1_000).quarantined, ["f"]);
   t.true(ledger.quarantined.has("f"));
 });
 
-// One crash that several entries see must not count as several.
-test("a runner's end counts once, whoever saw it and how often it is told", (t) => {
+// Several entries that see one crash must not make several crashes of it.
+test("a crash counts once, however many entries see it and however often it is reported", (t) => {
   const ledger = ledgerOf([
     crashAt(100),
     crashAt(100, { seenBy: ["entry-2"], endedAt: 104 }),
@@ -66,8 +66,9 @@
   t.false(ledger.merge([crashAt(200)], 1_000).hasNewFacts);
 });
 
-// A popular request is under way at ends that have nothing to do with it.
-test("a whole answer speaks for a request, whenever it is told", (t) => {
+// A request that many callers send is also under way at crashes that it does
+// not cause.
+test("a complete answer clears a request, whether its report arrives before or after the crash's", (t) => {
   const crashes = [crashAt(100), crashAt(200)];
   const clearedAfter = ledgerOf([
     ...crashes,
@@ -84,7 +85,7 @@
   t.is(clearedBefore.crashesUnder("f").length, 1);
 });
 
-test("a held request is released when its ends are cleared or disproved", (t) => {
+test("a quarantined request is released when a crash is cleared or disproved", (t) => {
   const crashes = [crashAt(100), crashAt(200), crashAt(300)];
   const ledger = ledgerOf(crashes);
   t.deepEqual(ledger.merge([clearedReport(crashes[0])], 1_000).released, ["f"]);
@@ -93,8 +94,8 @@
   t.deepEqual(ledgerOf(crashes).merge([disproof], 1_000).released, ["f"]);
 });
 
-// Entries hear of ends in any order, some twice, over other entries.
-test("entries that heard the same know the same, in any order", (t) => {
+// Reports arrive in any order, some twice, relayed by other entries.
+test("ledgers that receive the same reports in any order agree", (t) => {
   const reports = [100, 200, 300, 400].flatMap((at) => [
     crashAt(at, {}, ["f", `g-${at}`]),
     crashAt(at, { seenBy: ["entry-2"], endedAt: at + 3 }, ["h"]),
@@ -112,8 +113,8 @@
           [...expected.quarantined].sort(),
         );
         for (const name of ["f", "h", "g-100"]) {
-          const withOrderedHosts = (of: suspectLedger.SuspectLedger) =>
-            of.crashesUnder(name).map((crash) => ({
+          const withOrderedHosts = (source: suspectLedger.SuspectLedger) =>
+            source.crashesUnder(name).map((crash) => ({
               ...crash,
               seenBy: [...crash.seenBy].sort(),
             }));
@@ -125,8 +126,9 @@
   );
 });
 
-// Clocks differ between entries by the time of a message; all are to do the same.
-test("what another entry holds is held, if its ends are known", (t) => {
+// The times of a crash differ between entries by the time that a message takes,
+// yet all entries must quarantine the same requests.
+test("a request that another entry has in quarantine is quarantined if enough crashes are known", (t) => {
   const overlapping = [crashAt(100), crashAt(101), crashAt(102)];
   const ledger = ledgerOf(overlapping);
   t.deepEqual([...ledger.quarantined], []);
@@ -135,8 +137,9 @@
   t.deepEqual(ledgerOf([crashAt(100)]).merge([], 1_000, ["f"]).quarantined, []);
 });
 
-// Everything under way is a suspect when all hosts are lost, again and again.
-test("a flood of suspects pushes out neither a held request nor memory", (t) => {
+// If all hosts fail repeatedly, every request under way becomes a suspect each
+// time.
+test("a flood of suspects neither pushes out a quarantined request nor exceeds the limit", (t) => {
   const ledger = ledgerOf([crashAt(100), crashAt(200), crashAt(300)]);
   for (let number = 0; number < 200; number++) {
     const names = Array.from({ length: 500 }, (_, one) => `g-${number}-${one}`);
@@ -147,7 +150,7 @@
   t.true(ledger.size.suspicions <= 20_000);
 });
 
-test("what was seen twice outlives what was seen once", (t) => {
+test("a request with two crashes outlasts a flood of requests with one", (t) => {
   const ledger = ledgerOf([crashAt(100), crashAt(200)]);
   for (let number = 0; number < 60; number++) {
     const names = Array.from({ length: 500 }, (_, one) => `g-${number}-${one}`);
@@ -156,7 +159,7 @@
   t.is(ledger.crashesUnder("f").length, 2);
 });
 
-test("ends are forgotten after a day, but for those of held requests", (t) => {
+test("crashes are removed after a day, except those of quarantined requests", (t) => {
   const day = 24 * 3_600_000;
   const ledger = ledgerOf([
     crashAt(100),
@@ -170,9 +173,9 @@
   t.is(ledger.crashesUnder("f").length, 3);
 });
 
-// Of requests that ended runners once, most are never sent again; they must not take
-// the room of one that does so now.
-test("when too many are held, the one that nobody sent for longest is released", (t) => {
+// Most requests that once crashed runners are never sent again. They must not
+// take the place of one that crashes runners now.
+test("if too many requests are in quarantine, the one whose last crash is the oldest is released", (t) => {
   const ledger = new suspectLedger.SuspectLedger();
   const crashUnder = (name: string, at: number) =>
     ledger.merge([crashAt(at, {}, [name])], at);
--- a/packages/daemon/src/quarantine/trial_status_test.ts
+++ b/packages/daemon/src/quarantine/trial_status_test.ts
@@ -33,16 +33,18 @@
   }).kind;
 }
 
-// One that was at three ends by chance must not be refused for long.
-test("a request is tried again half a minute after its last end", (t) => {
+// A request that was under way at three crashes by chance must not be refused
+// for long.
+test("a request is tried again half a minute after its last crash", (t) => {
   const times = [0, 1_000, 2_000, 2_020];
   t.is(statusAt(2_020, times), "held");
   t.is(statusAt(32_000, times), "held");
   t.is(statusAt(32_021, times), "on-trial");
 });
 
-// One that is not mended would cost a runner each half minute.
-test("each trial that fails makes the next one later, three in a day at most", (t) => {
+// Otherwise a request that still crashes runners would crash one each half
+// minute.
+test("each failed trial delays the next one, with three in a day at most", (t) => {
   const first = [0, 1_000, 2_000, 40_000];
   t.is(statusAt(2 * HOUR, first), "held");
   t.is(statusAt(2 * HOUR + 40_001, first), "on-trial");
@@ -53,14 +55,14 @@
   t.is(statusAt(24 * HOUR, third), "held");
 });
 
-test("it is tried once no runner has the version under which runners ended", (t) => {
+test("a request is tried again once no runner has a version that crashed", (t) => {
   const times = [0, 1_000, 2_000];
   t.is(statusAt(5_000, times, ["1", "2"]), "held");
   t.is(statusAt(5_000, times, ["2"]), "on-trial");
 });
 
-// While all runners are away nothing says that the version was replaced.
-test("a service without runners or versions has nothing new to try", (t) => {
+// While no runner is listed, nothing shows that the version was replaced.
+test("a request stays in quarantine if its service has no runners or no known versions", (t) => {
   const times = [0, 1_000, 2_000];
   t.is(statusAt(5_000, times, []), "held");
   t.is(statusAt(5_000, times, [""], ""), "held");
--- a/packages/daemon/src/quarantine/watched_requests_test.ts
+++ b/packages/daemon/src/quarantine/watched_requests_test.ts
@@ -7,7 +7,7 @@
   return { service: "s", fingerprint: "f", stop };
 }
 
-test("all requests under way that ask for the same are stopped", (t) => {
+test("all requests under way with the same fingerprint and service are stopped", (t) => {
   const watched = new watchedRequests.WatchedRequests();
   let stopped = 0;
   const unwatch = [1, 2, 3].map(() =>
@@ -20,9 +20,9 @@
   t.is(stopped, 2);
 });
 
-// A trial whose runner has no room would be followed by one with each request that
-// comes; each of them reaches a runner.
-test("a trial that shows nothing is not followed by another at once", (t) => {
+// If a trial's runner has no room, each request that arrives would otherwise
+// start another trial, and each trial reaches a runner.
+test("a trial without a result is not followed by another at once", (t) => {
   const watched = new watchedRequests.WatchedRequests();
   const request = requestOf();
   const unwatch = watched.watch(request);
