--- a/packages/daemon/src/dispatch/conduct_attempt.ts
+++ b/packages/daemon/src/dispatch/conduct_attempt.ts
@@ -1,6 +1,6 @@
 import * as common from "@geraniumkeel/common";
 import * as wire from "@geraniumkeel/wire";
-import * as brokenRun from "../quarantine/broken_run.ts";
+import * as runnerCrash from "../quarantine/runner_crash.ts";
 import type * as quarantineModule from "../quarantine/quarantine.ts";
 import type * as answerSink from "./answer_sink.ts";
 import * as outgoingAttempt from "./outgoing_attempt.ts";
@@ -73,13 +73,13 @@
     case request.AttemptOutcomeKind.Unsettled: {
       if (!outcome.endedLife) return;
       const { fingerprint, service } = watched;
-      return quarantine.runnerEnded({
+      return quarantine.recordCrash({
         life: outcome.endedLife,
         runner: runner.host.name,
         service,
         version: UNKNOWN_VERSION,
         endedAt: common.now(),
-        evidence: brokenRun.EndEvidence.Reported,
+        evidence: runnerCrash.CrashEvidence.Reported,
         runs: [{ request: identifier, fingerprint, startedAt }],
       });
     }
--- a/packages/daemon/src/gateway/gateway.ts
+++ b/packages/daemon/src/gateway/gateway.ts
@@ -10,8 +10,8 @@
 import * as entryMesh from "../mesh/entry_mesh.ts";
 import * as memberRows from "../mesh/member_rows.ts";
 import * as epochConfirmation from "./epoch_confirmation.ts";
-import * as endReview from "../quarantine/end_review.ts";
-import * as endWatch from "../quarantine/end_watch.ts";
+import * as crashReview from "../quarantine/crash_review.ts";
+import * as crashDetector from "../quarantine/crash_detector.ts";
 import * as quarantine from "../quarantine/quarantine.ts";
 import * as quarantineRows from "../quarantine/quarantine_rows.ts";
 
@@ -75,8 +75,8 @@
   readonly forwarder: forwarderModule.Forwarder;
   readonly mesh: entryMesh.EntryMesh;
   readonly quarantine: quarantine.Quarantine;
-  readonly endWatch: endWatch.EndWatch;
-  readonly endReview: endReview.EndReview;
+  readonly endWatch: crashDetector.CrashDetector;
+  readonly endReview: crashReview.CrashReview;
   readonly #rows: quarantineRows.QuarantineRows;
   readonly #confirmation: epochConfirmation.EpochConfirmation;
   /** The latest reading of the configuration from the store. */
@@ -100,25 +100,26 @@
       host: self.host,
       entries: () => this.mesh.readyMembers().map(({ host }) => host),
       versionsOf: (service) => this.board.versionsOf(service),
-      tell: (message, except) => this.mesh.tell(message, except),
+      send: (message, except) => this.mesh.tell(message, except),
       relays: false,
-      onEndTold: (life, endedAt) => this.endWatch.toldEnd(life, endedAt),
+      onReportedCrash: (life, endedAt) =>
+        this.endWatch.applyReportedCrash(life, endedAt),
       rows: quarantineRows.inBackground(this.#rows, parameters.lifeCycle),
       logger,
       metrics,
     });
-    this.endWatch = new endWatch.EndWatch({
+    this.endWatch = new crashDetector.CrashDetector({
       presenceOf: (runner) => caller.presenceOf(runner),
       inUse: (runner) => this.board.inUse(runner),
-      endOf: (life) => this.quarantine.endOf(life),
-      onEnd: (end) => this.quarantine.runnerEnded(end),
+      crashTimeOf: (life) => this.quarantine.crashTimeOf(life),
+      onCrash: (end) => this.quarantine.recordCrash(end),
     });
-    this.endReview = new endReview.EndReview({
+    this.endReview = new crashReview.CrashReview({
       clock: common.now,
-      endOf: (life) => this.quarantine.endOf(life),
-      endedLives: (earliest, latest) =>
-        this.quarantine.endedLives(earliest, latest),
-      onAlive: (life) => this.quarantine.runnerHeard(life),
+      crashTimeOf: (life) => this.quarantine.crashTimeOf(life),
+      crashedIncarnations: (earliest, latest) =>
+        this.quarantine.crashedIncarnations(earliest, latest),
+      onDisproved: (life) => this.quarantine.disproveCrash(life),
     });
     this.forwarder = new forwarderModule.Forwarder({
       configuration: this.configuration,
@@ -129,7 +130,7 @@
       budgetOf: (service) => this.#budgetOf(service),
       quarantine: this.quarantine,
       endWatch: this.endWatch,
-      onHeard: (runner) => this.endReview.heard(runner),
+      onHeard: (runner) => this.endReview.reviewAnswer(runner),
       random,
       logger,
       metrics,
@@ -147,8 +148,8 @@
       outstanding: () => this.board.ownCounts(),
       onOutstanding: (host, counts) => this.board.setOthers(host, counts),
       suspicions: {
-        take: (message, host) => this.quarantine.take(message, host),
-        everything: () => this.quarantine.everything(),
+        take: (message, host) => this.quarantine.receive(message, host),
+        everything: () => this.quarantine.initialMessage(),
       },
       random,
       logger,
@@ -340,9 +341,9 @@
       const list = this.runners.value;
       if (list && list.version !== version) {
         this.board.update(list);
-        this.endWatch.listed(list);
+        this.endWatch.applyList(list);
       }
-      if (list) this.endReview.look(list, this.runners.age);
+      if (list) this.endReview.reviewList(list, this.runners.age);
       version = list?.version ?? version;
       await this.runners.changes.next(BOARD_LOOK_MILLISECONDS, signal);
     }
--- a/packages/daemon/src/quarantine/quarantine.ts
+++ b/packages/daemon/src/quarantine/quarantine.ts
@@ -1,151 +1,188 @@
 import * as common from "@geraniumkeel/common";
 import * as wire from "@geraniumkeel/wire";
-import type * as brokenRun from "./broken_run.ts";
+import type * as runnerCrash from "./runner_crash.ts";
 import * as quarantineCase from "./quarantine_case.ts";
-import * as standing from "./standing.ts";
+import * as trialStatus from "./trial_status.ts";
 import * as suspectLedger from "./suspect_ledger.ts";
 import * as suspicionLimit from "./suspicion_limit.ts";
-import * as toldEnds from "./told_ends.ts";
+import * as suspicionsMessage from "./suspicions_message.ts";
 import * as watchedRequests from "./watched_requests.ts";
 
-/** Runs that one log line names at most. */
-const MOST_RUNS_LOGGED = 16;
-/** When a request is to come back while another one like it is on trial. */
-const TRIAL_MILLISECONDS = 1_000;
-/** How long a request that was held is remembered after that, in milliseconds. */
-const RELEASED_MILLISECONDS = 60_000;
-/** Suspicions that an entry tells one that was just linked, at most. */
-const MOST_TOLD_AT_ONCE = 2_000;
+/** Largest number of runs that one log line lists. */
+const MAX_LOGGED_RUNS = 16;
+/**
+ * Time after which a caller is to retry a request that may be tried, but not
+ * here and now: its fingerprint is on trial, or another entry runs its trials.
+ */
+const TRIAL_RETRY_MILLISECONDS = 1_000;
+/**
+ * Time for which a released request is remembered, so that `restoreRows` can
+ * remove its row if the table service brings the row back.
+ */
+const RELEASE_RETENTION_MILLISECONDS = 60_000;
+/** Largest number of suspicions that an entry reports to a newly linked one. */
+const MAX_INITIAL_SUSPICIONS = 2_000;
 
 /** What the quarantine needs of its entry. */
 export interface QuarantineParameters {
+  /** Host of this entry. */
   host: string;
-  /** Entries that take requests, this one among them. */
+  /** Hosts of the entries that accept requests, this one included. */
   entries: () => string[];
-  /** Versions of the runners that a service has. */
+  /**
+   * Versions of the runners that a service has now; empty if it has no runners
+   * or their versions are unknown.
+   */
   versionsOf: (service: string) => ReadonlySet<string>;
-  /** Tells other entries, all but one. */
-  tell: (message: wire.Suspicions, except?: string) => void;
-  /** Whether what is new here is passed on: not all entries are linked. */
+  /** Sends a message to all linked entries except one. */
+  send: (message: wire.Suspicions, except?: string) => void;
+  /**
+   * Whether this entry relays new reports that it receives; needed if some
+   * pairs of entries are not linked.
+   */
   relays: boolean;
-  /** Told of each runner's end that another entry saw. */
-  onEndTold: (life: string, endedAt: number) => void;
-  /** Held requests in the platform's table service. */
+  /** Called with each crash that another entry reports. */
+  onReportedCrash: (incarnation: string, endedAt: number) => void;
+  /** Rows of quarantined requests in the platform's table service. */
   rows: {
-    keep: (fingerprint: string, reports: suspectLedger.ReportedEnd[]) => void;
-    drop: (fingerprint: string) => void;
+    store: (fingerprint: string, reports: suspectLedger.CrashReport[]) => void;
+    remove: (fingerprint: string) => void;
   };
   logger: common.Logger;
   metrics: common.Metrics;
 }
 
 /**
- * Keeps requests from runners that would end under them. Each entry tells the others
- * which requests were under way when a runner ended; a request for which several ends
- * speak, and no whole answer since, is sent to no runner more.
+ * Quarantines requests that crash the runners that run them. Each entry reports
+ * to the others which requests were under way when a runner crashed. A request
+ * that was under way at several crashes, with no complete answer since, is sent
+ * to no runner, except for trials that show whether it still crashes runners.
  */
 export class Quarantine {
   readonly #ledger = new suspectLedger.SuspectLedger();
   readonly #watched = new watchedRequests.WatchedRequests();
   readonly #limit = new suspicionLimit.SuspicionLimit();
-  /** Requests that are held no more, and since when. */
+  /** By fingerprint, when a request was released from quarantine. */
   readonly #released = new Map<string, number>();
 
   constructor(readonly parameters: QuarantineParameters) {}
 
-  /** Watches a request while it is under way; the returned function ends that. */
+  /**
+   * Watches a request that is under way, until the returned function is called.
+   * If the request is quarantined meanwhile, the quarantine stops it.
+   */
   watch(request: watchedRequests.WatchedRequest): () => void {
     return this.#watched.watch(request);
   }
 
-  /** Whether any request for a service is held. */
-  holdsAny(service: string): boolean {
-    for (const fingerprint of this.#ledger.held) {
+  /** Whether any request for a service is in quarantine. */
+  hasQuarantined(service: string): boolean {
+    for (const fingerprint of this.#ledger.quarantined) {
       if (this.#ledger.serviceOf(fingerprint) === service) return true;
     }
     return false;
   }
 
-  /** Milliseconds for which a request is sent to no runner; 0 if it may be now. */
-  heldMilliseconds(request: watchedRequests.WatchedRequest): number {
-    if (this.#ledger.held.size === 0) return 0;
+  /**
+   * Milliseconds until a request may be sent to a runner; 0 if it may be sent
+   * now.
+   */
+  remainingMilliseconds(request: watchedRequests.WatchedRequest): number {
+    if (this.#ledger.quarantined.size === 0) return 0;
     const { fingerprint } = request;
-    if (!this.#ledger.held.has(fingerprint)) return 0;
-    const found = this.#standingOf(fingerprint);
-    switch (found.kind) {
+    if (!this.#ledger.quarantined.has(fingerprint)) return 0;
+    const status = this.#trialStatusOf(fingerprint);
+    switch (status.kind) {
       case "held":
-        return found.millisecondsLeft;
+        return status.millisecondsLeft;
       case "on-trial":
-        return this.#mayTry(fingerprint) ? 0 : TRIAL_MILLISECONDS;
+        return this.#mayStartTrial(fingerprint) ? 0 : TRIAL_RETRY_MILLISECONDS;
     }
   }
 
   /**
-   * The same just before a request is sent. One that is sent on trial is the only one
-   * for as long as it is under way.
+   * Returns the same as `remainingMilliseconds`; called just before a request
+   * is sent. If a quarantined request may be sent, this starts its trial: while
+   * it is under way, no other request with its fingerprint may be sent.
    */
   admit(request: watchedRequests.WatchedRequest): number {
-    const milliseconds = this.heldMilliseconds(request);
-    if (milliseconds > 0 || this.#ledger.held.size === 0) return milliseconds;
-    if (this.#ledger.held.has(request.fingerprint)) {
-      this.#watched.beginTrial(request);
+    const milliseconds = this.remainingMilliseconds(request);
+    if (milliseconds > 0 || this.#ledger.quarantined.size === 0)
+      return milliseconds;
+    if (this.#ledger.quarantined.has(request.fingerprint)) {
+      this.#watched.startTrial(request);
     }
     return 0;
   }
 
-  /** A runner of a version answered a request whole: it does not end its runners. */
+  /**
+   * Records that a runner with this version gave a complete answer to a
+   * request. This clears the request of crashes of the same version. The answer
+   * to a trial clears it of all crashes.
+   */
   answered(request: watchedRequests.WatchedRequest, version: string): void {
-    if (this.#ledger.empty) return;
+    if (this.#ledger.isEmpty) return;
     const wasOnTrial = this.#watched.isOnTrial(request);
-    // Another version may run well what ends the runners of this one.
+    // A request that one version completes may still crash another.
     this.#clear(
       request.fingerprint,
-      (end) => wasOnTrial || end.version === version,
+      (report) => wasOnTrial || report.version === version,
     );
   }
 
-  /** Takes an operator's word that a request is sound; false if it is not held. */
+  /**
+   * Releases a request that an operator considers harmless; returns false if it
+   * is not in quarantine.
+   */
   lift(fingerprint: string): boolean {
-    if (!this.#ledger.held.has(fingerprint)) return false;
+    if (!this.#ledger.quarantined.has(fingerprint)) return false;
     this.#clear(fingerprint, () => true);
     return true;
   }
 
-  /** Takes what the table service kept while no entry was there. */
-  restore(reports: suspectLedger.ReportedEnd[]): void {
-    const kept = reports.flatMap(({ suspicions }) =>
+  /**
+   * Restores quarantined requests from the rows of the table service, which
+   * remain while no entry runs.
+   */
+  restore(reports: suspectLedger.CrashReport[]): void {
+    const quarantined = reports.flatMap(({ suspicions }) =>
       suspicions.map(({ fingerprint }) => fingerprint),
     );
-    this.#merge(reports, kept);
+    this.#merge(reports, quarantined);
   }
 
   /**
-   * Writes rows again that the table service has lost, and removes those that it has
-   * again: it came back from a copy. The number of rows that it was for this entry to
-   * write.
+   * Repairs the rows after the table service was restored from a copy: writes
+   * those that it has lost, and removes those of released requests. Returns the
+   * number of rows that this entry owns and writes or removes.
    */
   restoreRows(): number {
     const now = common.now();
     for (const [fingerprint, at] of this.#released) {
-      if (now - at > RELEASED_MILLISECONDS) this.#released.delete(fingerprint);
+      if (now - at > RELEASE_RETENTION_MILLISECONDS)
+        this.#released.delete(fingerprint);
     }
-    const isMine = (fingerprint: string) => this.#isChosen(fingerprint);
-    const held = [...this.#ledger.held].filter(isMine);
+    const isMine = (fingerprint: string) => this.#isOwner(fingerprint);
+    const quarantined = [...this.#ledger.quarantined].filter(isMine);
     const released = [...this.#released.keys()].filter(isMine);
-    for (const fingerprint of held) this.#keepRow(fingerprint);
-    for (const fingerprint of released) this.parameters.rows.drop(fingerprint);
-    return held.length + released.length;
+    for (const fingerprint of quarantined) this.#storeRow(fingerprint);
+    for (const fingerprint of released)
+      this.parameters.rows.remove(fingerprint);
+    return quarantined.length + released.length;
   }
 
-  /** A runner ended while requests of this entry were under way there. */
-  runnerEnded(end: brokenRun.RunnerEnd): void {
-    this.#logEnd(end);
-    const { life, runner, service, version, endedAt } = end;
-    const runs = this.#limit.take(
-      end.runs,
-      (fingerprint) => this.#ledger.endsUnder(fingerprint).length,
+  /**
+   * Records a crash of a runner that interrupted requests of this entry, and
+   * reports it to the other entries.
+   */
+  recordCrash(crash: runnerCrash.RunnerCrash): void {
+    this.#logCrash(crash);
+    const { life, runner, service, version, endedAt } = crash;
+    const runs = this.#limit.selectRuns(
+      crash.runs,
+      (fingerprint) => this.#ledger.crashesUnder(fingerprint).length,
     );
-    const report: suspectLedger.ReportedEnd = {
+    const report: suspectLedger.CrashReport = {
       life,
       runner,
       service,
@@ -160,72 +197,93 @@
       })),
     };
     const change = this.#merge([report]);
-    if (change.news) this.#tell([report], change.held);
+    if (change.hasNewFacts) this.#send([report], change.quarantined);
   }
 
-  /** A runner was heard after its end was told: it had not ended. */
-  runnerHeard(life: string): void {
-    const report = this.#ledger.reportOf(life);
+  /**
+   * Records that an incarnation still runs, so that its reported crash did not
+   * happen, and reports this to the other entries.
+   */
+  disproveCrash(incarnation: string): void {
+    const report = this.#ledger.crashReportOf(incarnation);
     if (!report || report.disproved) return;
     const disproof = { ...report, disproved: true };
-    this.#dropRows(this.#merge([disproof]));
-    this.#tell([disproof], []);
+    this.#removeRows(this.#merge([disproof]));
+    this.#send([disproof], []);
     const { runner, seenBy } = report;
     const code = common.EventCode.RunnerEndDisproved;
     this.parameters.logger.event(code, { runner, seenBy });
   }
 
-  /** Lives of runners that ended from one moment to another. */
-  endedLives(earliest: number, latest: number): string[] {
-    return this.#ledger.endedLives(earliest, latest);
+  /**
+   * Incarnations that crashed from `earliest` to `latest`, without disproved
+   * crashes.
+   */
+  crashedIncarnations(earliest: number, latest: number): string[] {
+    return this.#ledger.crashedIncarnations(earliest, latest);
   }
 
-  /** When a life of a runner ended, if any entry saw it. */
-  endOf(life: string): number | undefined {
-    return this.#ledger.endOf(life);
+  /**
+   * When an incarnation crashed; `undefined` if no entry has seen a crash of
+   * it, or if it was disproved.
+   */
+  crashTimeOf(incarnation: string): number | undefined {
+    return this.#ledger.crashTimeOf(incarnation);
   }
 
-  /** Takes what another entry tells. */
-  take(message: wire.Suspicions, from: string): void {
+  /**
+   * Applies a message of another entry. Sends other entries what they may not
+   * know: reports to relay, and all crashes of requests that the message put in
+   * quarantine.
+   */
+  receive(message: wire.Suspicions, from: string): void {
     const now = common.now();
-    const reports = message.ends.map((told) => toldEnds.fromTold(told, now));
+    const reports = message.ends.map((reported) =>
+      suspicionsMessage.toReport(reported, now),
+    );
     const change = this.#merge(reports, message.held);
-    const relayed = this.parameters.relays && change.news ? reports : [];
-    // The sender may lack the ends that others saw, and with them the proof.
-    const senderKnows = change.held.every((one) => message.held.includes(one));
-    this.#tell(relayed, change.held, senderKnows ? from : undefined);
+    const relayed = this.parameters.relays && change.hasNewFacts ? reports : [];
+    // The sender may lack crashes that other entries saw, and so may not know
+    // that a request is to be quarantined.
+    const senderKnows = change.quarantined.every((fingerprint) =>
+      message.held.includes(fingerprint),
+    );
+    this.#send(relayed, change.quarantined, senderKnows ? from : undefined);
     for (const { life, endedAt, disproved } of reports) {
-      if (!disproved) this.parameters.onEndTold(life, endedAt);
+      if (!disproved) this.parameters.onReportedCrash(life, endedAt);
     }
   }
 
-  /** What weighs most, for an entry that was just linked; `undefined` if nothing. */
-  everything(): wire.Suspicions | undefined {
-    const reports = this.#ledger.weightiest(MOST_TOLD_AT_ONCE);
+  /**
+   * Returns the message for a newly linked entry, with the most suspected
+   * requests; `undefined` if no request is suspected.
+   */
+  initialMessage(): wire.Suspicions | undefined {
+    const reports = this.#ledger.mostSuspected(MAX_INITIAL_SUSPICIONS);
     if (reports.length === 0) return undefined;
-    return toldEnds.messageOf(reports, [...this.#ledger.held]);
+    return suspicionsMessage.toMessage(reports, [...this.#ledger.quarantined]);
   }
 
-  /** Requests that are held, for operators. */
+  /** Describes the quarantined requests for operators. */
   cases(): quarantineCase.QuarantineCase[] {
-    return [...this.#ledger.held].map((fingerprint) =>
+    return [...this.#ledger.quarantined].map((fingerprint) =>
       quarantineCase.caseOf({
         fingerprint,
         service: this.#ledger.serviceOf(fingerprint),
-        ends: this.#ledger.endsUnder(fingerprint),
-        found: this.#standingOf(fingerprint),
+        crashes: this.#ledger.crashesUnder(fingerprint),
+        status: this.#trialStatusOf(fingerprint),
       }),
     );
   }
 
-  /** What the state dump says of it. */
+  /** The quarantine's part of the state dump. */
   describe(): unknown {
     return { ...this.#ledger.size, held: this.cases() };
   }
 
-  #standingOf(fingerprint: string): standing.HeldStanding {
-    return standing.standingOf({
-      ends: this.#ledger.endsUnder(fingerprint),
+  #trialStatusOf(fingerprint: string): trialStatus.TrialStatus {
+    return trialStatus.trialStatusOf({
+      crashes: this.#ledger.crashesUnder(fingerprint),
       versionsInUse: this.parameters.versionsOf(
         this.#ledger.serviceOf(fingerprint),
       ),
@@ -234,26 +292,31 @@
   }
 
   /**
-   * One attempt at a time in all the system, and one only of each request, so that a
-   * failed trial costs one runner.
+   * Whether this entry may start a trial of a request. One entry runs the
+   * trials of a request, one at a time, so that a failed trial crashes one
+   * runner only.
    */
-  #mayTry(fingerprint: string): boolean {
-    return this.#isChosen(fingerprint) && !this.#watched.hasTrial(fingerprint);
+  #mayStartTrial(fingerprint: string): boolean {
+    return this.#isOwner(fingerprint) && !this.#watched.hasTrial(fingerprint);
   }
 
-  /** Whether this entry is the one that acts for all on a request. */
-  #isChosen(fingerprint: string): boolean {
+  /**
+   * Whether this entry is the one that writes the row of a request and runs its
+   * trials.
+   */
+  #isOwner(fingerprint: string): boolean {
     const { host, entries } = this.parameters;
     return common.rendezvous(fingerprint, entries()) === host;
   }
 
+  /** Clears a request of all crashes for which `appliesTo` returns true. */
   #clear(
     fingerprint: string,
-    speaksFor: (end: { version: string }) => boolean,
+    appliesTo: (report: { version: string }) => boolean,
   ): void {
     const reports = this.#ledger
-      .reports(fingerprint)
-      .filter(speaksFor)
+      .reportsOn(fingerprint)
+      .filter(appliesTo)
       .filter(({ suspicions }) => suspicions.some(({ cleared }) => !cleared))
       .map((report) => ({
         ...report,
@@ -263,79 +326,98 @@
         })),
       }));
     if (reports.length === 0) return;
-    this.#dropRows(this.#merge(reports));
-    this.#tell(reports, []);
+    this.#removeRows(this.#merge(reports));
+    this.#send(reports, []);
   }
 
   #merge(
-    reports: suspectLedger.ReportedEnd[],
-    heldElsewhere: string[] = [],
+    reports: suspectLedger.CrashReport[],
+    quarantinedElsewhere: string[] = [],
   ): suspectLedger.LedgerChange {
-    const change = this.#ledger.merge(reports, common.now(), heldElsewhere);
-    for (const fingerprint of change.held) this.#onHeld(fingerprint);
-    for (const fingerprint of change.confirmed) this.#keepRow(fingerprint);
+    const change = this.#ledger.merge(
+      reports,
+      common.now(),
+      quarantinedElsewhere,
+    );
+    for (const fingerprint of change.quarantined)
+      this.#onQuarantined(fingerprint);
+    for (const fingerprint of change.stillQuarantined)
+      this.#storeRow(fingerprint);
     for (const fingerprint of change.released) this.#onReleased(fingerprint);
     return change;
   }
 
-  #onHeld(fingerprint: string): void {
+  #onQuarantined(fingerprint: string): void {
     this.#released.delete(fingerprint);
     const { logger, metrics } = this.parameters;
     const service = this.#ledger.serviceOf(fingerprint);
-    const ends = this.#ledger
-      .endsUnder(fingerprint)
+    const crashes = this.#ledger
+      .crashesUnder(fingerprint)
       .map(({ runner, version, seenBy }) => ({ runner, version, seenBy }));
     const code = common.EventCode.RequestQuarantined;
-    logger.event(code, { fingerprint, service, ends });
+    logger.event(code, { fingerprint, service, ends: crashes });
     metrics.count(common.Metric.Quarantined, { service });
-    this.#keepRow(fingerprint);
+    this.#storeRow(fingerprint);
     this.#watched.stop(service, fingerprint);
   }
 
-  #keepRow(fingerprint: string): void {
-    if (!this.#isChosen(fingerprint)) return;
-    const reports = this.#ledger.reports(fingerprint);
-    this.parameters.rows.keep(fingerprint, reports);
+  #storeRow(fingerprint: string): void {
+    if (!this.#isOwner(fingerprint)) return;
+    const reports = this.#ledger.reportsOn(fingerprint);
+    this.parameters.rows.store(fingerprint, reports);
   }
 
-  /** The chosen entry may be cut off, so who found the reason drops rows as well. */
-  #dropRows({ released }: suspectLedger.LedgerChange): void {
-    for (const fingerprint of released) this.parameters.rows.drop(fingerprint);
+  /**
+   * Removes the rows of released requests. The entry that owns a row may be
+   * unreachable, so the entry that found the reason for the release removes it
+   * as well.
+   */
+  #removeRows({ released }: suspectLedger.LedgerChange): void {
+    for (const fingerprint of released)
+      this.parameters.rows.remove(fingerprint);
   }
 
   #onReleased(fingerprint: string): void {
     this.#released.set(fingerprint, common.now());
     this.#watched.forgetTrial(fingerprint);
-    if (this.#isChosen(fingerprint)) this.parameters.rows.drop(fingerprint);
+    if (this.#isOwner(fingerprint)) this.parameters.rows.remove(fingerprint);
     const code = common.EventCode.QuarantineEnded;
     this.parameters.logger.event(code, { fingerprint });
   }
 
-  /** Tells reports, and of requests that are held all that speaks against them. */
-  #tell(
-    reports: suspectLedger.ReportedEnd[],
-    held: string[],
+  /**
+   * Sends reports, and for each quarantined request all crashes during its
+   * runs, so that receivers can quarantine it as well.
+   */
+  #send(
+    reports: suspectLedger.CrashReport[],
+    quarantined: string[],
     except?: string,
   ): void {
-    const proofs = held.flatMap((name) => this.#ledger.reports(name));
-    const told = [...reports, ...proofs];
-    if (told.length === 0) return;
-    this.parameters.tell(toldEnds.messageOf(told, held), except);
+    const supporting = quarantined.flatMap((fingerprint) =>
+      this.#ledger.reportsOn(fingerprint),
+    );
+    const sent = [...reports, ...supporting];
+    if (sent.length === 0) return;
+    this.parameters.send(
+      suspicionsMessage.toMessage(sent, quarantined),
+      except,
+    );
   }
 
-  #logEnd(end: brokenRun.RunnerEnd): void {
-    const { runner, service, life, evidence, endedAt, runs } = end;
+  #logCrash(crash: runnerCrash.RunnerCrash): void {
+    const { runner, service, life, evidence, endedAt, runs } = crash;
     this.parameters.logger.event(common.EventCode.RunnerEnded, {
       runner,
       service,
       life,
       evidence,
-      runs: runs.slice(0, MOST_RUNS_LOGGED).map((run) => ({
+      runs: runs.slice(0, MAX_LOGGED_RUNS).map((run) => ({
         request: run.request,
         fingerprint: run.fingerprint,
         milliseconds: Math.round(endedAt - run.startedAt),
       })),
-      more: Math.max(0, runs.length - MOST_RUNS_LOGGED),
+      more: Math.max(0, runs.length - MAX_LOGGED_RUNS),
     });
   }
 }
--- a/packages/daemon/src/quarantine/quarantine_rows.ts
+++ b/packages/daemon/src/quarantine/quarantine_rows.ts
@@ -2,29 +2,36 @@
 import * as common from "@geraniumkeel/common";
 import type * as suspectLedger from "./suspect_ledger.ts";
 
-const PREFIX = "quarantine/";
-/** First key behind all keys with the prefix. */
-const PREFIX_END = "quarantine0";
-/** Rows read at once; no more requests are held. */
-const MOST_ROWS = 1_000;
+const KEY_PREFIX = "quarantine/";
+/** First key after all keys that begin with the prefix. */
+const KEY_RANGE_END = "quarantine0";
+/**
+ * Largest number of rows in one read. No more requests are in quarantine at
+ * once.
+ */
+const MAX_ROWS = 1_000;
 const FIRST_PAUSE_MILLISECONDS = 100;
-const LONGEST_PAUSE_MILLISECONDS = 5_000;
-/** Time for which a write is tried again. */
-const PATIENCE_MILLISECONDS = 60_000;
+const MAX_PAUSE_MILLISECONDS = 5_000;
+/** Time for which a failed write is retried. */
+const WRITE_TIMEOUT_MILLISECONDS = 60_000;
 
-/** A runner's end in a row: times of day, as no monotonic clock outlives its process. */
-interface KeptEnd {
+/** A runner's crash in a row. */
+interface StoredCrash {
   life: string;
   runner: string;
   service: string;
   version: string;
+  /**
+   * Time of day of the crash, in milliseconds since the Unix epoch: a time of a
+   * monotonic clock means nothing to another process.
+   */
   endedAt: number;
-  /** Milliseconds from the run's start to the end. */
+  /** Milliseconds from the start of the run to the crash. */
   ranFor: number;
   seenBy: string[];
 }
 
-/** What keeping held requests in the table service needs. */
+/** What the rows of the quarantine need of their process. */
 export interface QuarantineRowsParameters {
   table: backingServices.TableService;
   random: common.Random;
@@ -32,50 +39,59 @@
 }
 
 /**
- * Held requests in the platform's table service, a row each. Entries tell each other
- * all else, but when all of them lose power at once none is left who knows, and the
- * same request would take as many runners along again.
+ * Stores quarantined requests in the platform's table service, one row each.
+ * Entries report crashes to each other, but retain them only in memory. If all
+ * entries lost power at once, then without the rows the same request would
+ * crash as many runners again.
  */
 export class QuarantineRows {
-  /** By key, what is still to be written; a task is at each. */
-  readonly #wanted = new Map<string, backingServices.Write>();
+  /**
+   * By key, the write that is not committed yet. One task per key works on it.
+   */
+  readonly #pending = new Map<string, backingServices.Write>();
 
   constructor(readonly parameters: QuarantineRowsParameters) {}
 
-  /** Writes what speaks against a request. */
-  async keep(
+  /** Stores the crashes for which a request is in quarantine. */
+  async store(
     fingerprint: string,
-    reports: suspectLedger.ReportedEnd[],
+    reports: suspectLedger.CrashReport[],
     signal: AbortSignal,
   ): Promise<void> {
-    const value = JSON.stringify(reports.flatMap(toKept));
+    const value = JSON.stringify(reports.flatMap(toStored));
     await this.#write(
-      backingServices.putRow(PREFIX + fingerprint, value),
+      backingServices.putRow(KEY_PREFIX + fingerprint, value),
       signal,
     );
   }
 
-  /** Removes a request that is held no more. */
-  async drop(fingerprint: string, signal: AbortSignal): Promise<void> {
-    const key = PREFIX + fingerprint;
+  /** Removes the row of a request that was released from quarantine. */
+  async remove(fingerprint: string, signal: AbortSignal): Promise<void> {
+    const key = KEY_PREFIX + fingerprint;
     const kind = backingServices.WriteKind.Delete;
     await this.#write({ kind, key }, signal);
   }
 
-  /** What the rows say, once the table service tells; `undefined` if it never did. */
+  /**
+   * Reads all rows as reports, and retries until the table service answers.
+   * Returns `undefined` if `signal` aborts before that.
+   */
   async read(
     signal: AbortSignal,
-  ): Promise<suspectLedger.ReportedEnd[] | undefined> {
+  ): Promise<suspectLedger.CrashReport[] | undefined> {
     const backOff = this.#backOff();
     while (!signal.aborted) {
       const rows = await this.parameters.table.range({
-        from: PREFIX,
-        to: PREFIX_END,
-        limit: MOST_ROWS,
+        from: KEY_PREFIX,
+        to: KEY_RANGE_END,
+        limit: MAX_ROWS,
       });
       if (rows.isOk()) {
         return rows.value.flatMap(({ key, value }) =>
-          fromKept(key.slice(PREFIX.length), JSON.parse(value) as KeptEnd[]),
+          fromStored(
+            key.slice(KEY_PREFIX.length),
+            JSON.parse(value) as StoredCrash[],
+          ),
         );
       }
       await common.sleep(backOff.pause(), signal);
@@ -83,34 +99,41 @@
     return undefined;
   }
 
-  /** One task at a time writes a row, until the last that was wanted is there. */
+  /**
+   * Replaces the pending write of a row. If no task writes this row yet, this
+   * call does so until the last pending write is committed.
+   */
   async #write(
     write: backingServices.Write,
     signal: AbortSignal,
   ): Promise<void> {
     const { key } = write;
-    const isUnderWay = this.#wanted.has(key);
-    this.#wanted.set(key, write);
-    if (!isUnderWay) await this.#writeWanted(key, signal);
+    const isBeingWritten = this.#pending.has(key);
+    this.#pending.set(key, write);
+    if (!isBeingWritten) await this.#writePending(key, signal);
   }
 
-  /** Repeating a write does no harm, so one whose answer was lost is repeated. */
-  async #writeWanted(key: string, signal: AbortSignal): Promise<void> {
+  /**
+   * Writes a row with retries, and logs an event if they fail for
+   * `WRITE_TIMEOUT_MILLISECONDS`. Repeating a write does no harm, so a write
+   * whose answer was lost is repeated.
+   */
+  async #writePending(key: string, signal: AbortSignal): Promise<void> {
     const { table, logger } = this.parameters;
     const backOff = this.#backOff();
-    const deadline = common.now() + PATIENCE_MILLISECONDS;
+    const deadline = common.now() + WRITE_TIMEOUT_MILLISECONDS;
     while (!signal.aborted) {
-      const write = this.#wanted.get(key);
+      const write = this.#pending.get(key);
       if (!write) return;
       const outcome = await table.transact({ conditions: [], writes: [write] });
       if (outcome.kind === backingServices.OutcomeKind.Committed) {
-        // Something else may have been wanted meanwhile.
-        if (this.#wanted.get(key) === write) this.#wanted.delete(key);
+        // A newer write of the row may have replaced this one meanwhile.
+        if (this.#pending.get(key) === write) this.#pending.delete(key);
         continue;
       }
       const pause = backOff.pause();
       if (common.now() + pause > deadline) {
-        this.#wanted.delete(key);
+        this.#pending.delete(key);
         const code = common.EventCode.QuarantineNotKept;
         return logger.event(code, { row: key, outcome: outcome.kind });
       }
@@ -121,33 +144,40 @@
   #backOff(): common.BackOff {
     return new common.BackOff({
       firstMilliseconds: FIRST_PAUSE_MILLISECONDS,
-      longestMilliseconds: LONGEST_PAUSE_MILLISECONDS,
+      longestMilliseconds: MAX_PAUSE_MILLISECONDS,
       random: this.parameters.random,
     });
   }
 }
 
-/** Rows that are written while requests go on. */
+/**
+ * Returns functions that store and remove rows in background tasks, so that no
+ * request waits for the table service.
+ */
 export function inBackground(
   rows: QuarantineRows,
   lifeCycle: common.LifeCycle,
 ): {
-  keep: (fingerprint: string, reports: suspectLedger.ReportedEnd[]) => void;
-  drop: (fingerprint: string) => void;
+  store: (fingerprint: string, reports: suspectLedger.CrashReport[]) => void;
+  remove: (fingerprint: string) => void;
 } {
   return {
-    keep: (fingerprint, reports) =>
+    store: (fingerprint, reports) =>
       lifeCycle.run("keep quarantine", (signal) =>
-        rows.keep(fingerprint, reports, signal),
+        rows.store(fingerprint, reports, signal),
       ),
-    drop: (fingerprint) =>
+    remove: (fingerprint) =>
       lifeCycle.run("drop quarantine", (signal) =>
-        rows.drop(fingerprint, signal),
+        rows.remove(fingerprint, signal),
       ),
   };
 }
 
-function toKept(report: suspectLedger.ReportedEnd): KeptEnd[] {
+/**
+ * Converts a report to the crashes of a row, without cleared suspicions and
+ * disproved crashes.
+ */
+function toStored(report: suspectLedger.CrashReport): StoredCrash[] {
   const { life, runner, service, version, seenBy, endedAt } = report;
   return report.suspicions
     .filter(({ cleared }) => !cleared && !report.disproved)
@@ -162,15 +192,18 @@
     }));
 }
 
-function fromKept(
+/**
+ * Converts the crashes of a row to reports by this process's monotonic clock.
+ */
+function fromStored(
   fingerprint: string,
-  kept: KeptEnd[],
-): suspectLedger.ReportedEnd[] {
-  return kept.map(({ endedAt: timeOfDay, ranFor, ...same }) => {
+  stored: StoredCrash[],
+): suspectLedger.CrashReport[] {
+  return stored.map(({ endedAt: timeOfDay, ranFor, ...unchanged }) => {
     const endedAt = common.now() - (Date.now() - timeOfDay);
     const startedAt = endedAt - ranFor;
     return {
-      ...same,
+      ...unchanged,
       endedAt,
       disproved: false,
       suspicions: [{ fingerprint, startedAt, cleared: false }],
--- a/packages/daemon/src/quarantine/suspect_ledger.ts
+++ b/packages/daemon/src/quarantine/suspect_ledger.ts
@@ -1,49 +1,63 @@
-import * as evidence from "./evidence.ts";
+import * as crashCounts from "./crash_counts.ts";
 
-/** Runners' ends that are remembered, at most. */
-const MOST_ENDS = 4_000;
-/** Requests remembered for all ends together, at most. */
-const MOST_SUSPICIONS = 20_000;
-/** Requests held at once, at most. */
-const MOST_HELD = 1_000;
-/** Time for which a runner's end is remembered, in milliseconds: a day. */
-const REMEMBERED_MILLISECONDS = 24 * 3_600_000;
+/** Largest number of crashes that the ledger retains. */
+const MAX_CRASHES = 4_000;
+/**
+ * Largest number of suspicions that the ledger retains for all crashes
+ * together.
+ */
+const MAX_SUSPICIONS = 20_000;
+/** Largest number of requests in quarantine at once. */
+const MAX_QUARANTINED_REQUESTS = 1_000;
+/**
+ * Time for which the ledger retains a crash: a day. Crashes for which a request
+ * is in quarantine are retained longer.
+ */
+const RETENTION_MILLISECONDS = 24 * 3_600_000;
 
-/** A request that was under way when a runner ended. */
+/** A request that was under way on a runner when the runner crashed. */
 export interface Suspicion {
   fingerprint: string;
-  /** When it was sent there, by this process's clock. */
+  /** When it was sent to the runner, by this process's monotonic clock. */
   startedAt: number;
-  /** A whole answer or an operator spoke for it since. */
+  /**
+   * Whether a complete answer or an operator has cleared the request of this
+   * crash since.
+   */
   cleared: boolean;
 }
 
-/** A runner's end and the requests that were under way there, as one entry tells it. */
-export interface ReportedEnd {
-  /** Names one life of the runner. */
+/**
+ * A report of a runner's crash with requests that were under way there. Entries
+ * exchange such reports.
+ */
+export interface CrashReport {
+  /** Identifies the incarnation of the runner that crashed. */
   life: string;
   runner: string;
   service: string;
-  /** Version of its software; empty if it is not known. */
+  /** Version of the runner's software; empty if it is unknown. */
   version: string;
-  /** By this process's clock. */
+  /** When the runner crashed, by this process's monotonic clock. */
   endedAt: number;
-  /** Entries that saw it. */
+  /** Hosts of the entries that saw the crash. */
   seenBy: string[];
-  /** The runner was heard again: it had not ended. */
+  /**
+   * An entry has found that this incarnation still runs, so it had not crashed.
+   */
   disproved: boolean;
   suspicions: Suspicion[];
 }
 
-/** What a report changed. */
+/** What a merge of reports changed. Requests are named by fingerprint. */
 export interface LedgerChange {
-  /** Whether anything in it was news. */
-  news: boolean;
-  /** Requests that are held from now on. */
-  held: string[];
-  /** Requests that stay held, of which more is known now. */
-  confirmed: string[];
-  /** Requests that are held no more. */
+  /** Whether the reports changed what the ledger records about any request. */
+  hasNewFacts: boolean;
+  /** Requests that the merge put in quarantine. */
+  quarantined: string[];
+  /** Requests that stay in quarantine and about which more is known now. */
+  stillQuarantined: string[];
+  /** Requests that the merge released from quarantine. */
   released: string[];
 }
 
@@ -52,177 +66,226 @@
   cleared: boolean;
 }
 
-interface RecordedEnd extends Omit<ReportedEnd, "seenBy" | "suspicions"> {
+interface RecordedCrash extends Omit<CrashReport, "seenBy" | "suspicions"> {
   seenBy: Set<string>;
   suspicions: Map<string, RecordedSuspicion>;
 }
 
-/** An end with the run of one request there. */
-export interface EndOfRequest extends evidence.EndedRun {
+/** A crash of a runner during a run of one request. */
+export interface CrashUnderRequest extends crashCounts.CrashedRun {
   runner: string;
   version: string;
   seenBy: string[];
 }
 
 /**
- * Ends of runners, as all entries report them, and the requests that were under way at
- * each. Reports are merged as sets: a report may come twice, by several ways and in any
- * order, and each runner's end counts once, whoever saw it. What is held for good
- * reason stays when a flood of other suspects comes.
+ * Records the crashes of runners that all entries report, and the requests that
+ * were under way at each, and decides which requests are quarantined. Reports
+ * are merged as sets: a report may arrive several times, over several entries
+ * and in any order, and each crash counts once, whichever entries saw it. A
+ * flood of other suspicions does not push out quarantined requests.
  */
 export class SuspectLedger {
-  readonly #ends = new Map<string, RecordedEnd>();
-  readonly #endsOf = new Map<string, Set<RecordedEnd>>();
-  /** Requests that are proved to end their runners. */
-  readonly #held = new Set<string>();
+  /** By incarnation, in order of arrival. */
+  readonly #crashes = new Map<string, RecordedCrash>();
+  readonly #crashesByFingerprint = new Map<string, Set<RecordedCrash>>();
+  /** Fingerprints of the requests in quarantine. */
+  readonly #quarantined = new Set<string>();
+  /** Number of suspicions of all crashes. */
   #suspicions = 0;
 
-  /** Requests that are held. */
-  get held(): ReadonlySet<string> {
-    return this.#held;
+  /** Fingerprints of the requests in quarantine. */
+  get quarantined(): ReadonlySet<string> {
+    return this.#quarantined;
   }
 
-  /** Whether any request is under suspicion. */
-  get empty(): boolean {
-    return this.#endsOf.size === 0;
+  /** Whether the ledger has no suspicion of any request. */
+  get isEmpty(): boolean {
+    return this.#crashesByFingerprint.size === 0;
   }
 
-  /** Numbers for the state dump. */
+  /** Counts for the state dump: crashes, suspected requests, suspicions. */
   get size(): { ends: number; suspects: number; suspicions: number } {
     return {
-      ends: this.#ends.size,
-      suspects: this.#endsOf.size,
+      ends: this.#crashes.size,
+      suspects: this.#crashesByFingerprint.size,
       suspicions: this.#suspicions,
     };
   }
 
-  /** When a life of a runner ended, if it is known to have. */
-  endOf(life: string): number | undefined {
-    const end = this.#ends.get(life);
-    return end && !end.disproved ? end.endedAt : undefined;
+  /**
+   * When an incarnation crashed; `undefined` if no crash is recorded, or if it
+   * was disproved.
+   */
+  crashTimeOf(incarnation: string): number | undefined {
+    const crash = this.#crashes.get(incarnation);
+    return crash && !crash.disproved ? crash.endedAt : undefined;
   }
 
-  /** Ends under which a request was under way, and for which nothing cleared it. */
-  endsUnder(fingerprint: string): EndOfRequest[] {
-    const ends: EndOfRequest[] = [];
-    for (const end of this.#endsOf.get(fingerprint) ?? []) {
-      const suspicion = end.suspicions.get(fingerprint);
-      if (end.disproved || !suspicion || suspicion.cleared) continue;
-      const { runner, version, endedAt, seenBy } = end;
+  /**
+   * Returns the crashes during runs of a request, in order of time, without
+   * those that are disproved and those of which the request is cleared.
+   */
+  crashesUnder(fingerprint: string): CrashUnderRequest[] {
+    const crashes: CrashUnderRequest[] = [];
+    for (const crash of this.#crashesByFingerprint.get(fingerprint) ?? []) {
+      const suspicion = crash.suspicions.get(fingerprint);
+      if (crash.disproved || !suspicion || suspicion.cleared) continue;
+      const { runner, version, endedAt, seenBy } = crash;
       const { startedAt } = suspicion;
-      ends.push({ runner, version, startedAt, endedAt, seenBy: [...seenBy] });
+      crashes.push({
+        runner,
+        version,
+        startedAt,
+        endedAt,
+        seenBy: [...seenBy],
+      });
     }
-    return ends.sort((left, right) => left.endedAt - right.endedAt);
+    return crashes.sort((left, right) => left.endedAt - right.endedAt);
   }
 
-  /** Service whose runners ended under a request. */
+  /**
+   * Service whose runners crashed during runs of a request; empty if there were
+   * none.
+   */
   serviceOf(fingerprint: string): string {
-    const [first] = this.#endsOf.get(fingerprint) ?? [];
+    const [first] = this.#crashesByFingerprint.get(fingerprint) ?? [];
     return first?.service ?? "";
   }
 
-  /** What is known of one life's end, but for the requests. */
-  reportOf(life: string): ReportedEnd | undefined {
-    const end = this.#ends.get(life);
-    return end && { ...end, seenBy: [...end.seenBy], suspicions: [] };
+  /**
+   * Returns the crash of an incarnation without its suspicions; `undefined` if
+   * none is recorded.
+   */
+  crashReportOf(incarnation: string): CrashReport | undefined {
+    const crash = this.#crashes.get(incarnation);
+    return crash && { ...crash, seenBy: [...crash.seenBy], suspicions: [] };
   }
 
-  /** Ends that are not disproved, from `earliest` to `latest`. */
-  endedLives(earliest: number, latest: number): string[] {
-    return [...this.#ends.values()]
+  /**
+   * Incarnations that crashed from `earliest` to `latest`, without disproved
+   * crashes.
+   */
+  crashedIncarnations(earliest: number, latest: number): string[] {
+    return [...this.#crashes.values()]
       .filter(({ disproved }) => !disproved)
       .filter(({ endedAt }) => endedAt >= earliest && endedAt <= latest)
       .map(({ life }) => life);
   }
 
-  /** Reports that tell all that is known of a request. */
-  reports(fingerprint: string): ReportedEnd[] {
-    const ends = this.#endsOf.get(fingerprint) ?? [];
-    return [...ends].map((end) => reportOf(end, fingerprint));
+  /**
+   * Returns all crashes during runs of a request, with the suspicion of this
+   * request only.
+   */
+  reportsOn(fingerprint: string): CrashReport[] {
+    const crashes = this.#crashesByFingerprint.get(fingerprint) ?? [];
+    return [...crashes].map((crash) => reportOf(crash, fingerprint));
   }
 
-  /** Reports of requests that were under way at the most ends, and at the latest. */
-  weightiest(mostSuspicions: number): ReportedEnd[] {
-    const pairs = [...this.#endsOf].flatMap(([fingerprint, ends]) =>
-      [...ends].map((end) => ({ fingerprint, end, weight: ends.size })),
+  /**
+   * Returns reports with at most `maxSuspicions` suspicions: those of requests
+   * that were under way at the most crashes come first, then those of the
+   * latest crashes.
+   */
+  mostSuspected(maxSuspicions: number): CrashReport[] {
+    const pairs = [...this.#crashesByFingerprint].flatMap(
+      ([fingerprint, crashes]) =>
+        [...crashes].map((crash) => ({
+          fingerprint,
+          crash,
+          crashCount: crashes.size,
+        })),
     );
     pairs.sort(
       (left, right) =>
-        right.weight - left.weight || right.end.endedAt - left.end.endedAt,
+        right.crashCount - left.crashCount ||
+        right.crash.endedAt - left.crash.endedAt,
     );
-    const told = new Map<RecordedEnd, ReportedEnd>();
-    for (const { fingerprint, end } of pairs.slice(0, mostSuspicions)) {
-      const one = reportOf(end, fingerprint);
-      const known = told.get(end);
-      if (known) known.suspicions.push(...one.suspicions);
-      else told.set(end, one);
+    const reports = new Map<RecordedCrash, CrashReport>();
+    for (const { fingerprint, crash } of pairs.slice(0, maxSuspicions)) {
+      const report = reportOf(crash, fingerprint);
+      const known = reports.get(crash);
+      if (known) known.suspicions.push(...report.suspicions);
+      else reports.set(crash, report);
     }
-    return [...told.values()];
+    return [...reports.values()];
   }
 
   /**
-   * Takes reports, of this entry or of another, and what the other holds: clocks differ,
-   * and all entries are to do the same.
+   * Merges reports of this entry or of another. `quarantinedElsewhere` are
+   * fingerprints of requests that the other entry has in quarantine. The ledger
+   * quarantines them as well if it knows enough crashes, even if the runs
+   * overlap by its own clock: clocks differ, and all entries are to treat a
+   * request alike.
    */
   merge(
-    reports: ReportedEnd[],
+    reports: CrashReport[],
     now: number,
-    heldElsewhere: string[] = [],
+    quarantinedElsewhere: string[] = [],
   ): LedgerChange {
     const change: LedgerChange = {
-      news: false,
-      held: [],
-      confirmed: [],
+      hasNewFacts: false,
+      quarantined: [],
+      stillQuarantined: [],
       released: [],
     };
-    const wanted = new Set(heldElsewhere);
+    const elsewhere = new Set(quarantinedElsewhere);
     const touched = new Set<string>();
     for (const report of reports) {
-      if (!isRemembered(report, now, wanted)) continue;
-      for (const fingerprint of this.#take(report)) touched.add(fingerprint);
+      if (!isRelevant(report, now, elsewhere)) continue;
+      for (const fingerprint of this.#apply(report)) touched.add(fingerprint);
     }
-    change.news = touched.size > 0;
-    for (const fingerprint of touched) this.#judge(fingerprint, change);
-    for (const fingerprint of wanted) this.#holdToo(fingerprint, change);
-    this.#forget(now);
+    change.hasNewFacts = touched.size > 0;
+    for (const fingerprint of touched) this.#reevaluate(fingerprint, change);
+    for (const fingerprint of elsewhere)
+      this.#quarantineAsElsewhere(fingerprint, change);
+    this.#enforceLimits(now);
     return change;
   }
 
-  /** Takes one report; the requests of which it says anything new. */
-  #take(report: ReportedEnd): Set<string> {
+  /**
+   * Applies one report; returns the fingerprints of the requests about which it
+   * contains anything new.
+   */
+  #apply(report: CrashReport): Set<string> {
     const touched = new Set<string>();
-    const end = this.#ends.get(report.life) ?? this.#record(report);
-    if (report.disproved && !end.disproved) {
-      end.disproved = true;
-      for (const fingerprint of end.suspicions.keys()) touched.add(fingerprint);
+    const crash = this.#crashes.get(report.life) ?? this.#record(report);
+    if (report.disproved && !crash.disproved) {
+      crash.disproved = true;
+      for (const fingerprint of crash.suspicions.keys())
+        touched.add(fingerprint);
     }
-    end.endedAt = Math.min(end.endedAt, report.endedAt);
-    for (const host of report.seenBy) end.seenBy.add(host);
+    crash.endedAt = Math.min(crash.endedAt, report.endedAt);
+    for (const host of report.seenBy) crash.seenBy.add(host);
     for (const suspicion of report.suspicions) {
-      if (this.#suspect(end, suspicion)) touched.add(suspicion.fingerprint);
+      if (this.#addSuspicion(crash, suspicion))
+        touched.add(suspicion.fingerprint);
     }
     return touched;
   }
 
-  #record(report: ReportedEnd): RecordedEnd {
-    const end: RecordedEnd = {
+  #record(report: CrashReport): RecordedCrash {
+    const crash: RecordedCrash = {
       ...report,
       disproved: false,
       seenBy: new Set(),
       suspicions: new Map(),
     };
-    this.#ends.set(report.life, end);
-    return end;
+    this.#crashes.set(report.life, crash);
+    return crash;
   }
 
-  /** Notes a request under way at an end; whether that is news. */
-  #suspect(end: RecordedEnd, suspicion: Suspicion): boolean {
+  /**
+   * Records that a request was under way at a crash; returns whether that was
+   * new.
+   */
+  #addSuspicion(crash: RecordedCrash, suspicion: Suspicion): boolean {
     const { fingerprint, startedAt, cleared } = suspicion;
-    const known = end.suspicions.get(fingerprint);
+    const known = crash.suspicions.get(fingerprint);
     if (!known) {
-      end.suspicions.set(fingerprint, { startedAt, cleared });
-      const ends = this.#endsOf.get(fingerprint) ?? new Set();
-      this.#endsOf.set(fingerprint, ends.add(end));
+      crash.suspicions.set(fingerprint, { startedAt, cleared });
+      const crashes = this.#crashesByFingerprint.get(fingerprint) ?? new Set();
+      this.#crashesByFingerprint.set(fingerprint, crashes.add(crash));
       this.#suspicions++;
       return true;
     }
@@ -232,94 +295,121 @@
     return true;
   }
 
-  #judge(fingerprint: string, change: LedgerChange): void {
-    const ends = this.endsUnder(fingerprint);
-    if (this.#held.has(fingerprint)) {
-      const stays = ends.length >= evidence.PROOF.ends;
-      if (!stays) this.#held.delete(fingerprint);
-      const where = stays ? change.confirmed : change.released;
-      where.push(fingerprint);
+  /** Quarantines or releases a request after its crashes have changed. */
+  #reevaluate(fingerprint: string, change: LedgerChange): void {
+    const crashes = this.crashesUnder(fingerprint);
+    if (this.#quarantined.has(fingerprint)) {
+      const stays = crashes.length >= crashCounts.QUARANTINE_THRESHOLD.crashes;
+      if (!stays) this.#quarantined.delete(fingerprint);
+      const list = stays ? change.stillQuarantined : change.released;
+      list.push(fingerprint);
       return;
     }
-    if (!evidence.proves(evidence.weigh(ends))) return;
-    this.#holdNow(fingerprint, change);
+    if (!crashCounts.reachesThreshold(crashCounts.countCrashes(crashes)))
+      return;
+    this.#quarantine(fingerprint, change);
   }
 
-  #holdToo(fingerprint: string, change: LedgerChange): void {
-    if (this.#held.has(fingerprint)) return;
-    if (this.endsUnder(fingerprint).length < evidence.PROOF.ends) return;
-    this.#holdNow(fingerprint, change);
+  /**
+   * Quarantines a request that another entry has in quarantine, if enough
+   * crashes are known here.
+   */
+  #quarantineAsElsewhere(fingerprint: string, change: LedgerChange): void {
+    if (this.#quarantined.has(fingerprint)) return;
+    if (
+      this.crashesUnder(fingerprint).length <
+      crashCounts.QUARANTINE_THRESHOLD.crashes
+    )
+      return;
+    this.#quarantine(fingerprint, change);
   }
 
-  /** Holds a request; if there are too many, the one that nobody sent for longest goes. */
-  #holdNow(fingerprint: string, change: LedgerChange): void {
-    this.#held.add(fingerprint);
-    const pushedOut = this.#heldTooMany();
-    if (pushedOut !== undefined) this.#held.delete(pushedOut);
-    if (pushedOut === fingerprint) return;
-    change.held.push(fingerprint);
-    if (pushedOut !== undefined) change.released.push(pushedOut);
+  /**
+   * Puts a request in quarantine. If there are too many, releases the one whose
+   * last crash is the oldest: callers have probably stopped sending it.
+   */
+  #quarantine(fingerprint: string, change: LedgerChange): void {
+    this.#quarantined.add(fingerprint);
+    const evicted = this.#requestToEvict();
+    if (evicted !== undefined) this.#quarantined.delete(evicted);
+    if (evicted === fingerprint) return;
+    change.quarantined.push(fingerprint);
+    if (evicted !== undefined) change.released.push(evicted);
   }
 
-  #heldTooMany(): string | undefined {
-    if (this.#held.size <= MOST_HELD) return undefined;
-    const lastEnds = [...this.#held].map((fingerprint) => {
-      const endedAt = this.endsUnder(fingerprint).at(-1)?.endedAt ?? -Infinity;
+  /** The request to release if too many are in quarantine, else `undefined`. */
+  #requestToEvict(): string | undefined {
+    if (this.#quarantined.size <= MAX_QUARANTINED_REQUESTS) return undefined;
+    const byLastCrash = [...this.#quarantined].map((fingerprint) => {
+      const endedAt =
+        this.crashesUnder(fingerprint).at(-1)?.endedAt ?? -Infinity;
       return { fingerprint, endedAt };
     });
-    lastEnds.sort((left, right) => left.endedAt - right.endedAt);
-    return lastEnds[0].fingerprint;
+    byLastCrash.sort((left, right) => left.endedAt - right.endedAt);
+    return byLastCrash[0].fingerprint;
   }
 
-  /** Keeps to the bounds: what is old goes, then what was seen once, oldest first. */
-  #forget(now: number): void {
-    const oldest = now - REMEMBERED_MILLISECONDS;
-    for (const end of this.#ends.values()) {
-      const full = this.#ends.size > MOST_ENDS;
-      if (end.endedAt >= oldest && !full) break;
-      this.#dropSuspicions(end, (fingerprint) => !this.#held.has(fingerprint));
-      if (end.suspicions.size === 0) this.#ends.delete(end.life);
+  /**
+   * Removes old crashes, and the oldest if there are too many. If there are
+   * still too many suspicions, removes those of requests with a single crash,
+   * then others, oldest first. Quarantined requests stay.
+   */
+  #enforceLimits(now: number): void {
+    const oldest = now - RETENTION_MILLISECONDS;
+    for (const crash of this.#crashes.values()) {
+      const full = this.#crashes.size > MAX_CRASHES;
+      if (crash.endedAt >= oldest && !full) break;
+      this.#removeSuspicions(
+        crash,
+        (fingerprint) => !this.#quarantined.has(fingerprint),
+      );
+      if (crash.suspicions.size === 0) this.#crashes.delete(crash.life);
     }
-    if (this.#suspicions <= MOST_SUSPICIONS) return;
-    this.#makeRoom((fingerprint) => this.#endsOf.get(fingerprint)?.size === 1);
-    this.#makeRoom((fingerprint) => !this.#held.has(fingerprint));
+    if (this.#suspicions <= MAX_SUSPICIONS) return;
+    this.#evictSuspicions(
+      (fingerprint) => this.#crashesByFingerprint.get(fingerprint)?.size === 1,
+    );
+    this.#evictSuspicions((fingerprint) => !this.#quarantined.has(fingerprint));
   }
 
-  #makeRoom(mayGo: (fingerprint: string) => boolean): void {
-    for (const end of this.#ends.values()) {
-      if (this.#suspicions <= MOST_SUSPICIONS) return;
-      this.#dropSuspicions(end, mayGo);
+  #evictSuspicions(mayEvict: (fingerprint: string) => boolean): void {
+    for (const crash of this.#crashes.values()) {
+      if (this.#suspicions <= MAX_SUSPICIONS) return;
+      this.#removeSuspicions(crash, mayEvict);
     }
   }
 
-  #dropSuspicions(
-    end: RecordedEnd,
-    mayGo: (fingerprint: string) => boolean,
+  #removeSuspicions(
+    crash: RecordedCrash,
+    mayRemove: (fingerprint: string) => boolean,
   ): void {
-    for (const fingerprint of end.suspicions.keys()) {
-      if (!mayGo(fingerprint)) continue;
-      end.suspicions.delete(fingerprint);
+    for (const fingerprint of crash.suspicions.keys()) {
+      if (!mayRemove(fingerprint)) continue;
+      crash.suspicions.delete(fingerprint);
       this.#suspicions--;
-      const ends = this.#endsOf.get(fingerprint);
-      ends?.delete(end);
-      if (ends?.size === 0) this.#endsOf.delete(fingerprint);
+      const crashes = this.#crashesByFingerprint.get(fingerprint);
+      crashes?.delete(crash);
+      if (crashes?.size === 0) this.#crashesByFingerprint.delete(fingerprint);
     }
   }
 }
 
-/** Whether a report is young enough, or speaks against a request that is held. */
-function isRemembered(
-  { endedAt, suspicions }: ReportedEnd,
+/**
+ * Whether a crash is recent enough to be recorded, or concerns a request that
+ * the sender of the report has in quarantine.
+ */
+function isRelevant(
+  { endedAt, suspicions }: CrashReport,
   now: number,
-  held: ReadonlySet<string>,
+  quarantined: ReadonlySet<string>,
 ): boolean {
-  if (endedAt >= now - REMEMBERED_MILLISECONDS) return true;
-  return suspicions.some(({ fingerprint }) => held.has(fingerprint));
+  if (endedAt >= now - RETENTION_MILLISECONDS) return true;
+  return suspicions.some(({ fingerprint }) => quarantined.has(fingerprint));
 }
 
-/** What is known of one request at an end. */
-function reportOf(end: RecordedEnd, fingerprint: string): ReportedEnd {
-  const known = end.suspicions.get(fingerprint);
+/** Returns a crash with the suspicion of one request only. */
+function reportOf(crash: RecordedCrash, fingerprint: string): CrashReport {
+  const known = crash.suspicions.get(fingerprint);
   const suspicions = known ? [{ fingerprint, ...known }] : [];
-  return { ...end, seenBy: [...end.seenBy], suspicions };
+  return { ...crash, seenBy: [...crash.seenBy], suspicions };
 }
--- /dev/null
+++ b/packages/daemon/src/quarantine/trial_status.ts
@@ -0,0 +1,86 @@
+import type * as suspectLedger from "./suspect_ledger.ts";
+
+/**
+ * Time from the last crash until a request is first tried again. A request that
+ * was under way at three crashes by chance runs again after this time; one that
+ * crashes its runners crashes a fourth.
+ */
+const FIRST_QUARANTINE_MILLISECONDS = 30_000;
+/**
+ * Shortest time from the last crash until the next trial once a trial has
+ * failed: two hours.
+ */
+const MIN_LATER_QUARANTINE_MILLISECONDS = 2 * 3_600_000;
+/**
+ * After a failed trial the time until the next one is at least this many times
+ * the span from the first to the last crash. Each failed trial lengthens the
+ * span, so trials become rarer.
+ */
+const LATER_QUARANTINE_SPANS = 3;
+
+/** Whether a quarantined request may be tried again. */
+export type TrialStatus =
+  /** It is sent to no runner for this time. */
+  | { kind: "held"; millisecondsLeft: number }
+  /** One run at a time may show whether it still crashes runners. */
+  | { kind: "on-trial" };
+
+/**
+ * Returns whether a quarantined request may be tried again. It may after a time
+ * that grows with each failed trial, or once no runner of its service has a
+ * version that crashed.
+ */
+export function trialStatusOf(parameters: {
+  /** Crashes during runs of the request, in order of time. */
+  crashes: suspectLedger.CrashUnderRequest[];
+  /**
+   * Versions of the runners that the service has now; empty if it has no
+   * runners or their versions are unknown.
+   */
+  versionsInUse: ReadonlySet<string>;
+  /** Current time in milliseconds, by the clock of `crashes`. */
+  now: number;
+}): TrialStatus {
+  const { crashes, versionsInUse, now } = parameters;
+  if (areVersionsReplaced(crashes, versionsInUse)) return { kind: "on-trial" };
+  const lastCrashAt = crashes.at(-1)?.endedAt ?? now;
+  const millisecondsLeft =
+    lastCrashAt + quarantineMillisecondsOf(crashes) - now;
+  if (millisecondsLeft <= 0) return { kind: "on-trial" };
+  return { kind: "held", millisecondsLeft };
+}
+
+/**
+ * Time from the last crash to the next trial. A crash at least
+ * `FIRST_QUARANTINE_MILLISECONDS` after the crash that put the request in
+ * quarantine counts as a failed trial.
+ */
+function quarantineMillisecondsOf(
+  crashes: suspectLedger.CrashUnderRequest[],
+): number {
+  const [firstCrash, , thresholdCrash] = crashes;
+  const lastCrash = crashes.at(-1);
+  if (!lastCrash || !thresholdCrash) return FIRST_QUARANTINE_MILLISECONDS;
+  const trialFailed =
+    lastCrash.endedAt - thresholdCrash.endedAt >= FIRST_QUARANTINE_MILLISECONDS;
+  if (!trialFailed) return FIRST_QUARANTINE_MILLISECONDS;
+  const span = lastCrash.endedAt - firstCrash.endedAt;
+  return Math.max(
+    MIN_LATER_QUARANTINE_MILLISECONDS,
+    LATER_QUARANTINE_SPANS * span,
+  );
+}
+
+/**
+ * Whether no runner of the service has a version that crashed. Without runners,
+ * or with unknown versions, nothing shows that the version was replaced.
+ */
+function areVersionsReplaced(
+  crashes: suspectLedger.CrashUnderRequest[],
+  versionsInUse: ReadonlySet<string>,
+): boolean {
+  if (versionsInUse.size === 0) return false;
+  return crashes.every(
+    ({ version }) => version !== "" && !versionsInUse.has(version),
+  );
+}
--- /dev/null
+++ b/packages/daemon/src/quarantine/trial_status_test.ts
@@ -0,0 +1,69 @@
+import * as ava from "ava";
+import * as trialStatus from "./trial_status.ts";
+import type * as suspectLedger from "./suspect_ledger.ts";
+
+const test = ava.default;
+
+const HOUR = 3_600_000;
+
+function crashesAt(
+  times: number[],
+  version = "1",
+): suspectLedger.CrashUnderRequest[] {
+  return times.map((endedAt) => ({
+    runner: `i-${endedAt}`,
+    version,
+    startedAt: endedAt,
+    endedAt,
+    seenBy: ["entry-1"],
+  }));
+}
+
+function statusAt(
+  now: number,
+  times: number[],
+  versions: string[] = ["1"],
+  version = "1",
+): trialStatus.TrialStatus["kind"] {
+  const versionsInUse = new Set(versions);
+  return trialStatus.trialStatusOf({
+    crashes: crashesAt(times, version),
+    versionsInUse,
+    now,
+  }).kind;
+}
+
+// A request that was under way at three crashes by chance must not be refused
+// for long.
+test("a request is tried again half a minute after its last crash", (t) => {
+  const times = [0, 1_000, 2_000, 2_020];
+  t.is(statusAt(2_020, times), "held");
+  t.is(statusAt(32_000, times), "held");
+  t.is(statusAt(32_021, times), "on-trial");
+});
+
+// Otherwise a request that still crashes runners would crash one each half
+// minute.
+test("each failed trial delays the next one, with three in a day at most", (t) => {
+  const first = [0, 1_000, 2_000, 40_000];
+  t.is(statusAt(2 * HOUR, first), "held");
+  t.is(statusAt(2 * HOUR + 40_001, first), "on-trial");
+  const second = [...first, 2 * HOUR + 50_000];
+  t.is(statusAt(8 * HOUR, second), "held");
+  t.is(statusAt(9 * HOUR, second), "on-trial");
+  const third = [...second, 9 * HOUR];
+  t.is(statusAt(24 * HOUR, third), "held");
+});
+
+test("a request is tried again once no runner has a version that crashed", (t) => {
+  const times = [0, 1_000, 2_000];
+  t.is(statusAt(5_000, times, ["1", "2"]), "held");
+  t.is(statusAt(5_000, times, ["2"]), "on-trial");
+});
+
+// While no runner is listed, nothing shows that the version was replaced.
+test("a request stays in quarantine if its service has no runners or no known versions", (t) => {
+  const times = [0, 1_000, 2_000];
+  t.is(statusAt(5_000, times, []), "held");
+  t.is(statusAt(5_000, times, [""], ""), "held");
+});
