--- a/packages/daemon/src/dispatch/body_sender.ts
+++ b/packages/daemon/src/dispatch/body_sender.ts
@@ -1,7 +1,7 @@
 import * as wire from "@geraniumkeel/wire";
 
 /** Pieces of a body sent ahead of those wanted. */
-const WINDOW = 8;
+const MAX_PIECES_AHEAD = 8;
 
 interface Piece {
   bytes: Uint8Array;
@@ -15,10 +15,10 @@
 export class BodySender {
   #pieces: Piece[] = [];
   /** Number of the first piece kept. */
-  #base = 0;
-  #wanted = 0;
-  #pulling = false;
-  #ended = false;
+  #firstRetainedIndex = 0;
+  #requestedIndex = 0;
+  #isReading = false;
+  #sourceEnded = false;
   #send: ((message: wire.Message) => void) | undefined;
   #identifier = "";
 
@@ -28,36 +28,39 @@
   start(identifier: string, send: (message: wire.Message) => void): void {
     this.#identifier = identifier;
     this.#send = send;
-    void this.#pull();
+    void this.#readAhead();
   }
 
   /** The runner has all pieces before `index`, and is ready for it. */
-  want(index: number): void {
-    const known = index - this.#base;
-    if (known > 0) this.#pieces.splice(0, known);
-    this.#base = Math.max(this.#base, index);
-    this.#wanted = index;
+  sendFrom(index: number): void {
+    const arrived = index - this.#firstRetainedIndex;
+    if (arrived > 0) this.#pieces.splice(0, arrived);
+    this.#firstRetainedIndex = Math.max(this.#firstRetainedIndex, index);
+    this.#requestedIndex = index;
     this.#pieces.forEach((piece, offset) => this.#sendPiece(offset, piece));
-    void this.#pull();
+    void this.#readAhead();
   }
 
-  async #pull(): Promise<void> {
-    if (this.#pulling) return;
-    this.#pulling = true;
-    while (!this.#ended && this.#next < this.#wanted + WINDOW) {
-      const piece = await this.#read();
-      this.#ended = piece.ends !== wire.BodyEnd.None;
+  async #readAhead(): Promise<void> {
+    if (this.#isReading) return;
+    this.#isReading = true;
+    while (
+      !this.#sourceEnded &&
+      this.#nextIndex < this.#requestedIndex + MAX_PIECES_AHEAD
+    ) {
+      const piece = await this.#readPiece();
+      this.#sourceEnded = piece.ends !== wire.BodyEnd.None;
       this.#pieces.push(piece);
       this.#sendPiece(this.#pieces.length - 1, piece);
     }
-    this.#pulling = false;
+    this.#isReading = false;
   }
 
-  get #next(): number {
-    return this.#base + this.#pieces.length;
+  get #nextIndex(): number {
+    return this.#firstRetainedIndex + this.#pieces.length;
   }
 
-  async #read(): Promise<Piece> {
+  async #readPiece(): Promise<Piece> {
     try {
       const read = await this.source.next();
       if (!read.done) return { bytes: read.value, ends: wire.BodyEnd.None };
@@ -71,7 +74,7 @@
     this.#send?.({
       kind: wire.MessageKind.BodyPiece,
       identifier: this.#identifier,
-      index: this.#base + offset,
+      index: this.#firstRetainedIndex + offset,
       bytes: piece.bytes,
       ends: piece.ends,
     });
--- a/packages/daemon/src/dispatch/claim_removal.ts
+++ b/packages/daemon/src/dispatch/claim_removal.ts
@@ -2,7 +2,7 @@
 import type * as lease from "../lease/lease.ts";
 import type * as claimStore from "./claim_store.ts";
 
-const BATCH = 200;
+const BATCH_ROWS = 200;
 
 /**
  * Removes claims past their retention, in batches, at whichever entry holds the
@@ -12,7 +12,7 @@
   claims: claimStore.ClaimStore;
   lease: lease.Lease;
   /** Whether this entry should try for the lease at all. */
-  preferred: () => boolean;
+  isPreferredHolder: () => boolean;
   retentionMilliseconds: number;
   periodMilliseconds: number;
   signal: AbortSignal;
@@ -21,10 +21,14 @@
   let from = "";
   while (!signal.aborted) {
     await common.sleep(periodMilliseconds, signal);
-    if (signal.aborted || !parameters.preferred()) continue;
+    if (signal.aborted || !parameters.isPreferredHolder()) continue;
     if ((await parameters.lease.renew()) === undefined) continue;
     const before = Date.now() - parameters.retentionMilliseconds;
-    const removed = await claims.removeOld({ before, from, limit: BATCH });
+    const removed = await claims.removeBatch({
+      before,
+      from,
+      limit: BATCH_ROWS,
+    });
     from = removed.isOk() ? (removed.value.next ?? "") : from;
   }
   await parameters.lease.release();
--- a/packages/daemon/src/dispatch/claim_store.ts
+++ b/packages/daemon/src/dispatch/claim_store.ts
@@ -14,7 +14,7 @@
 }
 
 /** Answer kept with a settled claim, for replay. */
-export interface KeptAnswer {
+export interface StoredAnswer {
   head: wire.AnswerHead;
   /** Body in base64. */
   body: string;
@@ -33,26 +33,26 @@
   attempt: wire.Attempt;
   /** Wall-clock time in milliseconds, for removal only. */
   createdAt: number;
-  answer?: KeptAnswer;
+  answer?: StoredAnswer;
 }
 
 /** A claim with the table revision on which a change must be based. */
-export interface HeldClaim {
+export interface StoredClaim {
   claim: Claim;
   revision: backingServices.Revision;
 }
 
 /** What became of writing a claim. */
-export type ClaimOutcome =
-  | { kind: "held"; held: HeldClaim }
-  | { kind: "other"; held: HeldClaim }
+export type ClaimWriteResult =
+  | { kind: "written"; stored: StoredClaim }
+  | { kind: "exists"; stored: StoredClaim }
   | { kind: "store-unavailable" };
 
-const PREFIX = "claims/";
+const KEY_PREFIX = "claims/";
 
 /** Table key of an account's idempotency key. */
 export function claimKey(account: string, idempotencyKey: string): string {
-  return `${PREFIX}${account}/${common.hashKey(idempotencyKey)}`;
+  return `${KEY_PREFIX}${account}/${common.hashKey(idempotencyKey)}`;
 }
 
 /** Claims of non-repeatable requests in the table service. */
@@ -61,7 +61,7 @@
     readonly parameters: {
       table: backingServices.TableService;
       random: common.Random;
-      patienceMilliseconds: number;
+      timeoutMilliseconds: number;
     },
   ) {}
 
@@ -73,8 +73,8 @@
   async write(parameters: {
     key: string;
     claim: Omit<Claim, "nonce">;
-    base: HeldClaim | undefined;
-  }): Promise<ClaimOutcome> {
+    base: StoredClaim | undefined;
+  }): Promise<ClaimWriteResult> {
     const { key, base } = parameters;
     const nonce = common.randomIdentifier();
     const claim = { ...parameters.claim, nonce };
@@ -87,17 +87,17 @@
         decidingKey: key,
         nonce,
       },
-      timeoutMilliseconds: this.parameters.patienceMilliseconds,
+      timeoutMilliseconds: this.parameters.timeoutMilliseconds,
       random: this.parameters.random,
     });
     switch (outcome.kind) {
       case backingServices.DefiniteKind.Committed: {
         const { revision } = outcome;
-        return { kind: "held", held: { claim, revision } };
+        return { kind: "written", stored: { claim, revision } };
       }
       case backingServices.DefiniteKind.Conflict:
         if (!outcome.row) return { kind: "store-unavailable" };
-        return { kind: "other", held: parseClaim(outcome.row) };
+        return { kind: "exists", stored: parseClaim(outcome.row) };
       case backingServices.DefiniteKind.PastEpoch:
       case backingServices.DefiniteKind.NotWritten:
       case backingServices.DefiniteKind.GivenUp:
@@ -106,7 +106,7 @@
   }
 
   /** Removes up to `limit` claims made before a time; returns how many. */
-  async removeOld(parameters: {
+  async removeBatch(parameters: {
     before: number;
     from: string;
     limit: number;
@@ -116,7 +116,7 @@
       backingServices.TableUnavailable
     >
   > {
-    const from = parameters.from || PREFIX;
+    const from = parameters.from || KEY_PREFIX;
     const { limit } = parameters;
     const to = "claims0";
     const rows = await this.parameters.table.range({ from, to, limit });
@@ -125,8 +125,8 @@
       (row) => parseClaim(row).claim.createdAt < parameters.before,
     );
     const last = rows.value.at(-1);
-    const more = rows.value.length === limit && last;
-    const next = more ? `${last.key}\0` : undefined;
+    const mayFollow = rows.value.length === limit && last;
+    const next = mayFollow ? `${last.key}\0` : undefined;
     if (old.length === 0) return neverthrow.ok({ removed: 0, next });
     const outcome = await this.parameters.table.transact({
       conditions: old.map(({ key, revision }) =>
@@ -142,6 +142,6 @@
   }
 }
 
-function parseClaim(row: backingServices.Row): HeldClaim {
+function parseClaim(row: backingServices.Row): StoredClaim {
   return { claim: JSON.parse(row.value) as Claim, revision: row.revision };
 }
--- a/packages/daemon/src/dispatch/claim_takeover.ts
+++ b/packages/daemon/src/dispatch/claim_takeover.ts
@@ -2,24 +2,24 @@
 import * as wire from "@geraniumkeel/wire";
 import type * as quarantine from "../quarantine/quarantine.ts";
 import type * as answerSink from "./answer_sink.ts";
-import * as claimOutcomes from "./claim_outcomes.ts";
+import * as outcomeRecorder from "./outcome_recorder.ts";
 import * as claimStore from "./claim_store.ts";
-import * as conductAttempt from "./conduct_attempt.ts";
-import * as keepingSink from "./keeping_sink.ts";
+import * as followAttempt from "./follow_attempt.ts";
+import * as recordingSink from "./recording_sink.ts";
 import * as request from "./request.ts";
 import type * as runnerDirectory from "./runner_directory.ts";
 
 /** What an existing claim leaves to do. */
-export type Resolution =
+export type ClaimResolution =
   | { kind: "result"; result: request.RequestResult }
   /** The claimed attempt never ran and never will: the claim is ours to use. */
-  | { kind: "take-over"; base: claimStore.HeldClaim };
+  | { kind: "take-over"; base: claimStore.StoredClaim };
 
 /** Finds out what to do about a claim that is there already. */
 export class ClaimTakeover {
   constructor(
     readonly parameters: {
-      outcomes: claimOutcomes.ClaimOutcomes;
+      recorder: outcomeRecorder.OutcomeRecorder;
       runners: runnerDirectory.RunnerDirectory;
       logger: common.Logger;
       settleAfterMilliseconds: number;
@@ -33,40 +33,44 @@
     sink: answerSink.AnswerSink,
     key: string,
     digest: string,
-    held: claimStore.HeldClaim,
-  ): Promise<Resolution> {
-    const { claim } = held;
+    stored: claimStore.StoredClaim,
+  ): Promise<ClaimResolution> {
+    const { claim } = stored;
     if (claim.digest !== digest) {
-      return result({ kind: request.ResultKind.KeyReused });
+      return resolvedWith({ kind: request.ResultKind.KeyReused });
     }
     switch (claim.state) {
       case claimStore.ClaimState.Settled:
-        return result(await replay(claim, sink));
+        return resolvedWith(await replay(claim, sink));
       case claimStore.ClaimState.Unsettled:
-        return result(claimOutcomes.mayHaveRun("its outcome was lost"));
+        return resolvedWith(outcomeRecorder.mayHaveRun("its outcome was lost"));
       case claimStore.ClaimState.Claimed:
-        return this.#settleClaimed(accepted, sink, key, held);
+        return this.#settleAttempt(accepted, sink, key, stored);
     }
   }
 
-  async #settleClaimed(
+  async #settleAttempt(
     accepted: request.AcceptedRequest,
     sink: answerSink.AnswerSink,
     key: string,
-    held: claimStore.HeldClaim,
-  ): Promise<Resolution> {
-    const { claim } = held;
+    stored: claimStore.StoredClaim,
+  ): Promise<ClaimResolution> {
+    const { claim } = stored;
     const { attempt } = claim;
     const { settleAfterMilliseconds, logger } = this.parameters;
     const runner = this.parameters.runners.get(claim.runner);
     if (!runner?.hello || !runner.linked) {
-      return result(claimOutcomes.mayHaveRun("its runner cannot be asked now"));
+      return resolvedWith(
+        outcomeRecorder.mayHaveRun("its runner cannot be asked now"),
+      );
     }
     if (runner.hello.incarnation !== attempt.agentIncarnation) {
-      await this.parameters.outcomes.write(key, held, {
+      await this.parameters.recorder.changeClaim(key, stored, {
         state: claimStore.ClaimState.Unsettled,
       });
-      return result(claimOutcomes.mayHaveRun("its runner was replaced"));
+      return resolvedWith(
+        outcomeRecorder.mayHaveRun("its runner was replaced"),
+      );
     }
     const state = await runner.settle(attempt, settleAfterMilliseconds);
     logger.event(common.EventCode.ClaimTakenOver, {
@@ -76,40 +80,44 @@
     });
     switch (state) {
       case wire.AttemptState.NeverStarted:
-        return { kind: "take-over", base: held };
+        return { kind: "take-over", base: stored };
       case wire.AttemptState.Running:
       case wire.AttemptState.Finished: {
-        const keeping = new keepingSink.KeepingSink(sink);
+        const recording = new recordingSink.RecordingSink(sink);
         const outgoing = runner.collect(attempt, accepted.window);
         const { quarantine } = this.parameters;
-        const conducted = {
+        const followed = {
           runner,
           outgoing,
           accepted,
-          sink: keeping,
+          sink: recording,
           quarantine,
         };
-        const outcome = await conductAttempt.conductAttempt(conducted);
+        const outcome = await followAttempt.followAttempt(followed);
         if (outcome.kind === request.AttemptOutcomeKind.NeverStarted) {
-          return { kind: "take-over", base: held };
+          return { kind: "take-over", base: stored };
         }
-        return result(
-          this.parameters.outcomes.conclude({
+        return resolvedWith(
+          this.parameters.recorder.recordOutcome({
             key,
-            held,
+            stored,
             outcome,
-            keeping,
+            recording,
             runner,
           }),
         );
       }
       case wire.AttemptState.Forgotten:
-        await this.parameters.outcomes.write(key, held, {
+        await this.parameters.recorder.changeClaim(key, stored, {
           state: claimStore.ClaimState.Unsettled,
         });
-        return result(claimOutcomes.mayHaveRun("its outcome was forgotten"));
+        return resolvedWith(
+          outcomeRecorder.mayHaveRun("its outcome was forgotten"),
+        );
       case undefined:
-        return result(claimOutcomes.mayHaveRun("its runner did not answer"));
+        return resolvedWith(
+          outcomeRecorder.mayHaveRun("its runner did not answer"),
+        );
     }
   }
 }
@@ -131,6 +139,6 @@
   };
 }
 
-function result(value: request.RequestResult): Resolution {
+function resolvedWith(value: request.RequestResult): ClaimResolution {
   return { kind: "result", result: value };
 }
--- a/packages/daemon/src/dispatch/dispatcher.ts
+++ b/packages/daemon/src/dispatch/dispatcher.ts
@@ -3,14 +3,14 @@
 import type * as serviceQueue from "../admission/service_queue.ts";
 import type * as router from "../routing/router.ts";
 import type * as answerSink from "./answer_sink.ts";
-import * as conductAttempt from "./conduct_attempt.ts";
-import * as keyedRequest from "./keyed_request.ts";
+import * as followAttempt from "./follow_attempt.ts";
+import * as keyedRequests from "./keyed_requests.ts";
 import * as request from "./request.ts";
 import type * as retryBudget from "./retry_budget.ts";
 import type * as runnerObtainer from "./runner_obtainer.ts";
 
 /** Attempts at one request at most. */
-const MOST_ATTEMPTS = 4;
+const MAX_FAILED_ATTEMPTS = 4;
 
 /** What dispatching needs of the rest of the entry. */
 export interface DispatcherParameters {
@@ -19,7 +19,7 @@
     service: string,
   ) => serviceQueue.ServiceQueue<runnerObtainer.ReservedRunner>;
   budgetOf: (service: string) => retryBudget.RetryBudget;
-  keyed: keyedRequest.KeyedRequests;
+  keyed: keyedRequests.KeyedRequests;
   quarantine: quarantine.Quarantine;
   logger: common.Logger;
   metrics: common.Metrics;
@@ -46,7 +46,7 @@
     sink: answerSink.AnswerSink,
   ): Promise<request.RequestResult> {
     this.#running++;
-    const unwatch = this.parameters.quarantine.watch(accepted.watched);
+    const stopWatching = this.parameters.quarantine.watch(accepted.watched);
     try {
       this.parameters.budgetOf(accepted.service).earn();
       if (accepted.idempotencyKey !== undefined && !accepted.repeatable) {
@@ -54,7 +54,7 @@
       }
       return await this.#runAttempts(accepted, sink);
     } finally {
-      unwatch();
+      stopWatching();
       this.#running--;
       this.parameters.queueOf(accepted.service).pump();
     }
@@ -70,10 +70,16 @@
     const { service, runnerConcurrency, prefixBlocks } = accepted;
     const { promptTokens, expectedTokens } = accepted;
     if (!router.exists(service)) {
-      return this.#notRun(request.NotRunReason.NoRunner);
+      return this.#obtainedNoRunner(request.NotRunReason.NoRunner);
     }
-    const held = quarantine.heldMilliseconds(accepted.watched);
-    if (held > 0) return this.#notRun(request.NotRunReason.Quarantined, held);
+    const quarantinedMilliseconds = quarantine.heldMilliseconds(
+      accepted.watched,
+    );
+    if (quarantinedMilliseconds > 0)
+      return this.#obtainedNoRunner(
+        request.NotRunReason.Quarantined,
+        quarantinedMilliseconds,
+      );
     const outcome = await this.parameters.queueOf(service).enter({
       account: accepted.account,
       weight: accepted.weight,
@@ -99,10 +105,13 @@
     switch (outcome.kind) {
       case "admitted": {
         const { waitedMilliseconds, runner: reserved } = outcome;
-        const heldNow = quarantine.admit(accepted.watched);
-        if (heldNow > 0) {
+        const remainingMilliseconds = quarantine.admit(accepted.watched);
+        if (remainingMilliseconds > 0) {
           reserved.reservation.release();
-          return this.#notRun(request.NotRunReason.Quarantined, heldNow);
+          return this.#obtainedNoRunner(
+            request.NotRunReason.Quarantined,
+            remainingMilliseconds,
+          );
         }
         const tags = { service };
         const metric = common.Metric.QueueWait;
@@ -110,12 +119,12 @@
         return { kind: "runner", ...reserved };
       }
       case "full":
-        return this.#notRun(
+        return this.#obtainedNoRunner(
           request.NotRunReason.QueueFull,
           outcome.waitMilliseconds,
         );
       case "too-late":
-        return this.#notRun(
+        return this.#obtainedNoRunner(
           request.NotRunReason.DeadlineTooNear,
           outcome.waitMilliseconds,
         );
@@ -131,19 +140,19 @@
    * Whether another attempt may be made after one that never started, or one
    * whose work may be repeated. `failures` counts those that failed so far.
    */
-  mayRetry(
+  permitRetry(
     accepted: request.AcceptedRequest,
     failures: number,
     cause: request.NotStartedCause,
   ): boolean {
-    if (failures >= MOST_ATTEMPTS) return false;
+    if (failures >= MAX_FAILED_ATTEMPTS) return false;
     // What was streamed of the body is gone; there is nothing to send again.
     if (accepted.body) return false;
     const { service } = accepted;
     // Being turned away by a leaving runner cost nothing and is planned; paying
     // for it would refuse requests just because a host is taken out.
-    const charged = cause === request.NotStartedCause.Failed;
-    if (charged && !this.parameters.budgetOf(service).spend()) return false;
+    const isCharged = cause === request.NotStartedCause.Failed;
+    if (isCharged && !this.parameters.budgetOf(service).spend()) return false;
     const { logger, metrics } = this.parameters;
     const { identifier } = accepted;
     logger.event(common.EventCode.RequestRetried, { identifier, failures });
@@ -156,8 +165,11 @@
     reason: request.NotRunReason,
     waitMilliseconds = 0,
   ): request.RequestResult {
-    const jittered = this.parameters.retryAfterMilliseconds();
-    const retryAfterMilliseconds = Math.max(jittered, waitMilliseconds);
+    const jitteredMilliseconds = this.parameters.retryAfterMilliseconds();
+    const retryAfterMilliseconds = Math.max(
+      jitteredMilliseconds,
+      waitMilliseconds,
+    );
     return { kind: request.ResultKind.NotRun, reason, retryAfterMilliseconds };
   }
 
@@ -166,16 +178,21 @@
     sink: answerSink.AnswerSink,
   ): Promise<request.RequestResult> {
     const excluded = new Set<string>();
-    let mayHaveRun: string | undefined;
+    let mayHaveRunReason: string | undefined;
     let failures = 0;
     for (let attempts = 1; ; attempts++) {
       const wasAdmitted = attempts > 1;
       const obtained = await this.obtainRunner(accepted, excluded, wasAdmitted);
       if (obtained.kind === "result") {
-        return truthful(obtained.result, mayHaveRun);
+        return withEarlierAttempts(obtained.result, mayHaveRunReason);
       }
       const { runner } = obtained;
-      const outcome = await this.#attemptAt(obtained, accepted, attempts, sink);
+      const outcome = await this.#runAttempt(
+        obtained,
+        accepted,
+        attempts,
+        sink,
+      );
       switch (outcome.kind) {
         case request.AttemptOutcomeKind.Complete: {
           const { finishReason, promptTokens } = outcome;
@@ -186,27 +203,28 @@
         case request.AttemptOutcomeKind.CallerGone:
           return { kind: request.ResultKind.CallerGone };
         case request.AttemptOutcomeKind.Deadline:
-          return afterDelivery(sink, "deadline passed");
-        case request.AttemptOutcomeKind.Held:
-          return afterDelivery(sink, "put in quarantine");
+          return unfinishedResult(sink, "deadline passed");
+        case request.AttemptOutcomeKind.Quarantined:
+          return unfinishedResult(sink, "put in quarantine");
         case request.AttemptOutcomeKind.NeverStarted:
           // It goes back to the queue; its deadline ends that.
           if (outcome.cause === request.NotStartedCause.Full) continue;
-          if (this.mayRetry(accepted, ++failures, outcome.cause)) break;
-          return truthful(
+          if (this.permitRetry(accepted, ++failures, outcome.cause)) break;
+          return withEarlierAttempts(
             this.notRun(request.NotRunReason.EngineUnavailable),
-            mayHaveRun,
+            mayHaveRunReason,
           );
         case request.AttemptOutcomeKind.Broken:
         case request.AttemptOutcomeKind.Unsettled: {
           const { reason } = outcome;
-          mayHaveRun = reason;
+          mayHaveRunReason = reason;
           // Pieces of two samplings never make one answer: once the caller has
           // seen part of it, there is no second try.
-          const fresh = accepted.repeatable && !sink.delivered;
+          const mayRepeat = accepted.repeatable && !sink.delivered;
           const { Failed } = request.NotStartedCause;
-          if (fresh && this.mayRetry(accepted, ++failures, Failed)) break;
-          return afterDelivery(sink, reason);
+          if (mayRepeat && this.permitRetry(accepted, ++failures, Failed))
+            break;
+          return unfinishedResult(sink, reason);
         }
       }
       sink.reset();
@@ -214,7 +232,7 @@
     }
   }
 
-  async #attemptAt(
+  async #runAttempt(
     { runner, reservation, limit }: runnerObtainer.ReservedRunner,
     accepted: request.AcceptedRequest,
     number: number,
@@ -232,7 +250,7 @@
     const outgoing = runner.dispatch(attempt, sent);
     const { history, host } = this.parameters;
     history.record({ kind: "dispatched", host, identifier });
-    return conductAttempt.conductAttempt({
+    return followAttempt.followAttempt({
       runner,
       outgoing,
       accepted,
@@ -241,7 +259,7 @@
     });
   }
 
-  #notRun(
+  #obtainedNoRunner(
     reason: request.NotRunReason,
     waitMilliseconds = 0,
   ): runnerObtainer.ObtainedRunner {
@@ -253,17 +271,17 @@
  * "Not run" must be true of the whole request: if an earlier attempt may have
  * run, a later one that never started does not undo that.
  */
-function truthful(
+function withEarlierAttempts(
   result: request.RequestResult,
-  mayHaveRun: string | undefined,
+  mayHaveRunReason: string | undefined,
 ): request.RequestResult {
   if (result.kind !== request.ResultKind.NotRun) return result;
-  if (mayHaveRun === undefined) return result;
-  return { kind: request.ResultKind.MayHaveRun, reason: mayHaveRun };
+  if (mayHaveRunReason === undefined) return result;
+  return { kind: request.ResultKind.MayHaveRun, reason: mayHaveRunReason };
 }
 
 /** What the caller is told of an answer that will not be completed. */
-function afterDelivery(
+function unfinishedResult(
   sink: answerSink.AnswerSink,
   reason: string,
 ): request.RequestResult {
--- a/packages/daemon/src/dispatch/conduct_attempt.ts
+++ b/packages/daemon/src/dispatch/follow_attempt.ts
@@ -11,7 +11,7 @@
 const UNKNOWN_VERSION = "";
 
 /** An attempt that is under way at a runner. */
-export interface ConductedAttempt {
+export interface FollowedAttempt {
   runner: runnerLink.RunnerLink;
   outgoing: outgoingAttempt.OutgoingAttempt;
   accepted: request.AcceptedRequest;
@@ -23,45 +23,45 @@
  * Follows one attempt to its outcome and passes its answer on. Only a word of
  * the runner settles an attempt; silence settles nothing.
  */
-export async function conductAttempt(
-  parameters: ConductedAttempt,
+export async function followAttempt(
+  parameters: FollowedAttempt,
 ): Promise<request.AttemptOutcome> {
   const { runner, outgoing, accepted, sink } = parameters;
   const { attempt, events } = outgoing;
   const { AttemptEventKind } = outgoingAttempt;
-  const onGone = () => events.push({ kind: AttemptEventKind.CallerGone });
-  accepted.signal.addEventListener("abort", onGone, { once: true });
-  if (accepted.signal.aborted) onGone();
+  const onCallerGone = () => events.push({ kind: AttemptEventKind.CallerGone });
+  accepted.signal.addEventListener("abort", onCallerGone, { once: true });
+  if (accepted.signal.aborted) onCallerGone();
   const startedAt = common.now();
   // What may not be repeated runs to its end, and so does what already answers.
   accepted.watched.onStop = () => {
     if (!accepted.repeatable || sink.delivered) return;
-    events.push({ kind: AttemptEventKind.Held });
+    events.push({ kind: AttemptEventKind.Quarantined });
   };
   const timer = setTimeout(
     () => events.push({ kind: AttemptEventKind.Deadline }),
     Math.max(0, accepted.deadline - common.now()),
   );
   try {
-    const outcome = await follow(parameters);
-    tellQuarantine(parameters, outcome, startedAt);
-    const over = endsWork(outcome);
+    const outcome = await awaitOutcome(parameters);
+    reportToQuarantine(parameters, outcome, startedAt);
+    const stopped = hasWorkStopped(outcome);
     // Giving up does not end the work: stop it where that is allowed. What may
     // not be repeated runs to its end, as stopping it half-way helps nobody.
-    if (!over && accepted.repeatable) runner.cancel(attempt);
-    const keep = accepted.idempotencyKey !== undefined;
-    runner.close(attempt, over && !keep);
+    if (!stopped && accepted.repeatable) runner.cancel(attempt);
+    const isKeyed = accepted.idempotencyKey !== undefined;
+    runner.close(attempt, stopped && !isKeyed);
     return outcome;
   } finally {
     accepted.watched.onStop = undefined;
     clearTimeout(timer);
-    accepted.signal.removeEventListener("abort", onGone);
+    accepted.signal.removeEventListener("abort", onCallerGone);
   }
 }
 
 /** What an outcome says of the request and of its runner. */
-function tellQuarantine(
-  { runner, accepted, quarantine }: ConductedAttempt,
+function reportToQuarantine(
+  { runner, accepted, quarantine }: FollowedAttempt,
   outcome: request.AttemptOutcome,
   startedAt: number,
 ): void {
@@ -86,13 +86,13 @@
     case request.AttemptOutcomeKind.NeverStarted:
     case request.AttemptOutcomeKind.Deadline:
     case request.AttemptOutcomeKind.CallerGone:
-    case request.AttemptOutcomeKind.Held:
+    case request.AttemptOutcomeKind.Quarantined:
       return;
   }
 }
 
 /** Whether nothing runs any more after this outcome. */
-function endsWork(outcome: request.AttemptOutcome): boolean {
+function hasWorkStopped(outcome: request.AttemptOutcome): boolean {
   switch (outcome.kind) {
     case request.AttemptOutcomeKind.Complete:
     case request.AttemptOutcomeKind.NeverStarted:
@@ -101,13 +101,13 @@
     case request.AttemptOutcomeKind.Unsettled:
     case request.AttemptOutcomeKind.Deadline:
     case request.AttemptOutcomeKind.CallerGone:
-    case request.AttemptOutcomeKind.Held:
+    case request.AttemptOutcomeKind.Quarantined:
       return false;
   }
 }
 
-async function follow(
-  parameters: ConductedAttempt,
+async function awaitOutcome(
+  parameters: FollowedAttempt,
 ): Promise<request.AttemptOutcome> {
   const { runner, outgoing, accepted, sink } = parameters;
   const { identifier } = outgoing.attempt;
@@ -135,7 +135,7 @@
         return outcomeOfEnd(event.end);
       case AttemptEventKind.Settled:
         return outcomeOfState(event.state);
-      case AttemptEventKind.Lost:
+      case AttemptEventKind.UpstreamReplaced:
         return {
           kind: AttemptOutcomeKind.Unsettled,
           reason: "upstream process replaced",
@@ -149,8 +149,8 @@
         };
       case AttemptEventKind.Deadline:
         return { kind: AttemptOutcomeKind.Deadline };
-      case AttemptEventKind.Held:
-        return { kind: AttemptOutcomeKind.Held };
+      case AttemptEventKind.Quarantined:
+        return { kind: AttemptOutcomeKind.Quarantined };
       case AttemptEventKind.CallerGone:
         // The answer of a non-repeatable request is still waited for: its claim
         // must say how it ended.
--- a/packages/daemon/src/dispatch/keyed_request.ts
+++ b/packages/daemon/src/dispatch/keyed_requests.ts
@@ -3,11 +3,11 @@
 import * as wire from "@geraniumkeel/wire";
 import type * as quarantine from "../quarantine/quarantine.ts";
 import type * as answerSink from "./answer_sink.ts";
-import * as claimOutcomes from "./claim_outcomes.ts";
+import * as outcomeRecorder from "./outcome_recorder.ts";
 import * as claimStore from "./claim_store.ts";
 import * as claimTakeover from "./claim_takeover.ts";
-import * as conductAttempt from "./conduct_attempt.ts";
-import * as keepingSink from "./keeping_sink.ts";
+import * as followAttempt from "./follow_attempt.ts";
+import * as recordingSink from "./recording_sink.ts";
 import type * as lostClaims from "./lost_claims.ts";
 import * as request from "./request.ts";
 import type * as runnerDirectory from "./runner_directory.ts";
@@ -19,7 +19,7 @@
  * that does not answer would else fill runners with requests that do not run,
  * and have others beside them wait.
  */
-const LONGEST_RESERVATION_MILLISECONDS = 250;
+const MAX_RESERVATION_MILLISECONDS = 250;
 
 /** What keyed requests need of the rest of the entry. */
 export interface KeyedRequestsParameters {
@@ -41,22 +41,22 @@
  */
 export class KeyedRequests {
   /** Requests under way here by claim key; a second one waits for the first. */
-  readonly #underWay = new Map<string, Promise<unknown>>();
-  readonly #outcomes: claimOutcomes.ClaimOutcomes;
+  readonly #running = new Map<string, Promise<unknown>>();
+  readonly #recorder: outcomeRecorder.OutcomeRecorder;
   readonly #takeover: claimTakeover.ClaimTakeover;
 
   constructor(readonly parameters: KeyedRequestsParameters) {
-    this.#outcomes = new claimOutcomes.ClaimOutcomes(parameters);
-    const outcomes = this.#outcomes;
+    this.#recorder = new outcomeRecorder.OutcomeRecorder(parameters);
+    const recorder = this.#recorder;
     this.#takeover = new claimTakeover.ClaimTakeover({
       ...parameters,
-      outcomes,
+      recorder,
     });
   }
 
   /** Runs a keyed request to its final result. */
   async run(
-    owner: runnerObtainer.RunnerObtainer,
+    obtainer: runnerObtainer.RunnerObtainer,
     accepted: request.AcceptedRequest,
     sink: answerSink.AnswerSink,
   ): Promise<request.RequestResult> {
@@ -65,45 +65,45 @@
       accepted.idempotencyKey ?? "",
     );
     for (;;) {
-      const other = this.#underWay.get(key);
+      const other = this.#running.get(key);
       if (!other) break;
       const remaining = accepted.deadline - common.now();
-      const ended = await common.withTimeout(
+      const finished = await common.withTimeout(
         other.then(() => true),
         remaining,
       );
       // Whether the other request has run by then is not known here.
-      if (!ended) {
+      if (!finished) {
         const reason = "a request with this key is under way";
         return { kind: request.ResultKind.MayHaveRun, reason };
       }
     }
-    const running = this.#runClaimed(owner, accepted, sink, key);
-    const over = running.then(
+    const running = this.#runClaimed(obtainer, accepted, sink, key);
+    const completion = running.then(
       () => undefined,
       () => undefined,
     );
-    this.#underWay.set(key, over);
+    this.#running.set(key, completion);
     try {
       return await running;
     } finally {
-      this.#underWay.delete(key);
+      this.#running.delete(key);
     }
   }
 
   async #runClaimed(
-    owner: runnerObtainer.RunnerObtainer,
+    obtainer: runnerObtainer.RunnerObtainer,
     accepted: request.AcceptedRequest,
     sink: answerSink.AnswerSink,
     key: string,
   ): Promise<request.RequestResult> {
     const digest = digestOf(accepted);
     const excluded = new Set<string>();
-    let base: claimStore.HeldClaim | undefined;
+    let base: claimStore.StoredClaim | undefined;
     let failures = 0;
     for (let attempts = 1; ; attempts++) {
       const wasAdmitted = attempts > 1;
-      const obtained = await owner.obtainRunner(
+      const obtained = await obtainer.obtainRunner(
         accepted,
         excluded,
         wasAdmitted,
@@ -114,30 +114,33 @@
       const attempt = runner.newAttempt(identifier);
       if (!attempt) {
         reservation.release();
-        return owner.notRun(request.NotRunReason.NoRunner);
+        return obtainer.notRun(request.NotRunReason.NoRunner);
       }
       const release = () => reservation.release();
-      const held = setTimeout(release, LONGEST_RESERVATION_MILLISECONDS);
+      const reservationTimer = setTimeout(
+        release,
+        MAX_RESERVATION_MILLISECONDS,
+      );
       const written = await this.parameters.claims.write({
         key,
         claim: this.#newClaim(digest, runner, attempt),
         base,
       });
-      clearTimeout(held);
+      clearTimeout(reservationTimer);
       // Released here: nothing else runs before the dispatch counts instead.
       release();
       if (written.kind === "store-unavailable") {
         // Nothing was sent, and without the claim nothing may be.
-        return owner.notRun(request.NotRunReason.StoreUnavailable);
+        return obtainer.notRun(request.NotRunReason.StoreUnavailable);
       }
-      if (written.kind === "other") {
-        const { held } = written;
+      if (written.kind === "exists") {
+        const { stored } = written;
         const resolved = await this.#takeover.resolve(
           accepted,
           sink,
           key,
           digest,
-          held,
+          stored,
         );
         if (resolved.kind === "result") return resolved.result;
         base = resolved.base;
@@ -146,67 +149,67 @@
       const { lostClaims: lost } = this.parameters;
       // The claim stays: it names an attempt that was not sent.
       if (!(await lost.gather())) {
-        return owner.notRun(request.NotRunReason.StoreUnavailable);
+        return obtainer.notRun(request.NotRunReason.StoreUnavailable);
       }
-      const before = lost.find(key);
-      if (before && before.attempt.identifier !== attempt.identifier) {
-        const resolved = await this.#yieldTo(before, accepted, sink, {
+      const earlier = lost.find(key);
+      if (earlier && earlier.attempt.identifier !== attempt.identifier) {
+        const resolved = await this.#restoreEarlier(earlier, accepted, sink, {
           key,
           digest,
-          held: written.held,
+          stored: written.stored,
         });
         if (resolved.kind === "result") return resolved.result;
         base = resolved.base;
         continue;
       }
-      lost.remember(key, written.held.claim);
-      base = written.held;
-      const keeping = new keepingSink.KeepingSink(sink);
+      lost.remember(key, written.stored.claim);
+      base = written.stored;
+      const recording = new recordingSink.RecordingSink(sink);
       const claim = { key, digest };
       const sent = { ...accepted, identifier, limit, claim };
       const outgoing = runner.dispatch(attempt, sent);
       const { history, host, quarantine } = this.parameters;
       history.record({ kind: "dispatched", host, identifier });
-      const conducted = {
+      const followed = {
         runner,
         outgoing,
         accepted,
-        sink: keeping,
+        sink: recording,
         quarantine,
       };
-      const outcome = await conductAttempt.conductAttempt(conducted);
+      const outcome = await followAttempt.followAttempt(followed);
       if (outcome.kind === request.AttemptOutcomeKind.NeverStarted) {
         if (outcome.cause === request.NotStartedCause.Full) continue;
         excluded.add(runner.host.name);
-        if (owner.mayRetry(accepted, ++failures, outcome.cause)) continue;
-        return owner.notRun(request.NotRunReason.EngineUnavailable);
+        if (obtainer.permitRetry(accepted, ++failures, outcome.cause)) continue;
+        return obtainer.notRun(request.NotRunReason.EngineUnavailable);
       }
-      return this.#outcomes.conclude({
+      return this.#recorder.recordOutcome({
         key,
-        held: base,
+        stored: base,
         outcome,
-        keeping,
+        recording,
         runner,
       });
     }
   }
 
   /** Puts a claim that the table had lost in place of a later one of this entry. */
-  async #yieldTo(
-    before: Omit<claimStore.Claim, "nonce">,
+  async #restoreEarlier(
+    earlier: Omit<claimStore.Claim, "nonce">,
     accepted: request.AcceptedRequest,
     sink: answerSink.AnswerSink,
-    own: { key: string; digest: string; held: claimStore.HeldClaim },
-  ): Promise<claimTakeover.Resolution> {
-    const { key, digest, held: base } = own;
+    own: { key: string; digest: string; stored: claimStore.StoredClaim },
+  ): Promise<claimTakeover.ClaimResolution> {
+    const { key, digest, stored: base } = own;
     const { claims } = this.parameters;
-    const written = await claims.write({ key, claim: before, base });
+    const written = await claims.write({ key, claim: earlier, base });
     if (written.kind === "store-unavailable") {
-      const result = claimOutcomes.mayHaveRun("its claim was lost");
-      return { kind: "result", result };
+      const result = outcomeRecorder.mayHaveRun("its claim was lost");
+      return { kind: "result", result: result };
     }
-    const { held } = written;
-    return this.#takeover.resolve(accepted, sink, key, digest, held);
+    const { stored } = written;
+    return this.#takeover.resolve(accepted, sink, key, digest, stored);
   }
 
   #newClaim(
--- a/packages/daemon/src/dispatch/lost_claims.ts
+++ b/packages/daemon/src/dispatch/lost_claims.ts
@@ -8,16 +8,16 @@
  * Time for which claims that were written here are kept, in milliseconds: the age that a
  * copy of the table has at most, and the outage before its return.
  */
-const KEPT_MILLISECONDS = 30_000;
+const RETENTION_MILLISECONDS = 30_000;
 /** Claims kept at most; each may have an answer of 64 KiB. */
-const MOST_KEPT = 500;
+const MAX_RETAINED_CLAIMS = 500;
 /** Time for an upstream process to tell its claims. */
-const ANSWER_MILLISECONDS = 1_000;
+const ANSWER_TIMEOUT_MILLISECONDS = 1_000;
 /**
  * Time after the table's return for which no keyed request is run while some upstream
  * process has not told its claims, in milliseconds.
  */
-const LONGEST_WAIT_MILLISECONDS = 10_000;
+const MAX_WAIT_MILLISECONDS = 10_000;
 
 /** What gathering claims needs. */
 export interface LostClaimsParameters {
@@ -36,25 +36,28 @@
  * Those who know are the entries that wrote them and the processes beside the runners.
  */
 export class LostClaims {
-  readonly #own = new Map<string, { claim: claimStore.Claim; at: number }>();
+  readonly #written = new Map<
+    string,
+    { claim: claimStore.Claim; at: number }
+  >();
   readonly #found = new Map<string, Omit<claimStore.Claim, "nonce">>();
   /** Epoch of the table whose losses were gathered. */
-  #gatheredIn: number | undefined;
+  #gatheredEpoch: number | undefined;
   #gathering: Promise<void> | undefined;
   /** When the epoch was first seen here. */
-  #epochSeen = { number: -1, at: 0 };
+  #epochFirstSeen = { number: -1, at: 0 };
 
   constructor(readonly parameters: LostClaimsParameters) {}
 
   /** Keeps a claim that was written here. */
   remember(key: string, claim: claimStore.Claim): void {
     const now = common.now();
-    this.#own.delete(key);
-    this.#own.set(key, { claim, at: now });
-    for (const [other, { at }] of this.#own) {
-      const isOld = now - at > KEPT_MILLISECONDS;
-      if (!isOld && this.#own.size <= MOST_KEPT) return;
-      this.#own.delete(other);
+    this.#written.delete(key);
+    this.#written.set(key, { claim, at: now });
+    for (const [other, { at }] of this.#written) {
+      const isOld = now - at > RETENTION_MILLISECONDS;
+      if (!isOld && this.#written.size <= MAX_RETAINED_CLAIMS) return;
+      this.#written.delete(other);
     }
   }
 
@@ -64,12 +67,12 @@
    */
   async gather(): Promise<boolean> {
     const { number } = this.parameters.epoch;
-    if (this.#gatheredIn === number) return true;
+    if (this.#gatheredEpoch === number) return true;
     this.#gathering ??= this.#gatherOnce().finally(() => {
       this.#gathering = undefined;
     });
     await this.#gathering;
-    return this.#gatheredIn === number;
+    return this.#gatheredEpoch === number;
   }
 
   /** A claim that the table lost; `undefined` if none is known. */
@@ -84,7 +87,7 @@
     for (const [key, claim] of this.#found) {
       if (!isOwner(key)) continue;
       const outcome = await claims.write({ key, claim, base: undefined });
-      if (outcome.kind === "held") written++;
+      if (outcome.kind === "written") written++;
     }
     return written;
   }
@@ -92,26 +95,26 @@
   async #gatherOnce(): Promise<void> {
     const { epoch, runners } = this.parameters;
     const { number, sawBegin } = epoch;
-    if (this.#epochSeen.number !== number) {
-      this.#epochSeen = { number, at: common.now() };
+    if (this.#epochFirstSeen.number !== number) {
+      this.#epochFirstSeen = { number, at: common.now() };
       this.#found.clear();
     }
     const answers = await Promise.all(
       runners().map(async (runner) => this.#ask(runner)),
     );
-    for (const [key, { claim }] of this.#own) this.#found.set(key, claim);
-    const allTold = answers.every((told) => told);
-    const waited = common.now() - this.#epochSeen.at;
-    const isEnough = !sawBegin || waited > LONGEST_WAIT_MILLISECONDS;
-    if (allTold || isEnough) this.#gatheredIn = number;
+    for (const [key, { claim }] of this.#written) this.#found.set(key, claim);
+    const allAnswered = answers.every((answered) => answered);
+    const waited = common.now() - this.#epochFirstSeen.at;
+    const mayProceed = !sawBegin || waited > MAX_WAIT_MILLISECONDS;
+    if (allAnswered || mayProceed) this.#gatheredEpoch = number;
   }
 
   async #ask(runner: runnerLink.RunnerLink): Promise<boolean> {
-    const told = await runner.readClaims(ANSWER_MILLISECONDS);
-    for (const { claim, attempt } of told ?? []) {
+    const answer = await runner.readClaims(ANSWER_TIMEOUT_MILLISECONDS);
+    for (const { claim, attempt } of answer ?? []) {
       this.#found.set(claim.key, this.#claimOf(runner, claim, attempt));
     }
-    return told !== undefined;
+    return answer !== undefined;
   }
 
   #claimOf(
--- a/packages/daemon/src/dispatch/open_questions.ts
+++ b/packages/daemon/src/dispatch/open_questions.ts
@@ -4,7 +4,7 @@
 /** Questions asked over a link and not answered yet, by their numbers. */
 export class OpenQuestions {
   readonly #open = new Map<number, (answer: wire.Message) => void>();
-  #last = 0;
+  #lastNumber = 0;
 
   /** Questions without an answer. */
   get count(): number {
@@ -18,7 +18,7 @@
     timeoutMilliseconds: number;
   }): Promise<wire.Message | undefined> {
     const { send, build, timeoutMilliseconds } = parameters;
-    const question = ++this.#last;
+    const question = ++this.#lastNumber;
     const answer = new Promise<wire.Message>((resolve) =>
       this.#open.set(question, resolve),
     );
--- a/packages/daemon/src/dispatch/claim_outcomes.ts
+++ b/packages/daemon/src/dispatch/outcome_recorder.ts
@@ -1,12 +1,12 @@
 import * as common from "@geraniumkeel/common";
 import type * as answerSink from "./answer_sink.ts";
 import * as claimStore from "./claim_store.ts";
-import type * as keepingSink from "./keeping_sink.ts";
+import type * as recordingSink from "./recording_sink.ts";
 import * as request from "./request.ts";
 import type * as runnerLink from "./runner_link.ts";
 
 /** Writes into claims how their attempts ended. */
-export class ClaimOutcomes {
+export class OutcomeRecorder {
   constructor(
     readonly parameters: {
       claims: claimStore.ClaimStore;
@@ -15,23 +15,26 @@
   ) {}
 
   /** Writes how a claimed attempt ended, and says it to the caller at once. */
-  conclude(parameters: {
+  recordOutcome(parameters: {
     key: string;
-    held: claimStore.HeldClaim;
+    stored: claimStore.StoredClaim;
     outcome: request.AttemptOutcome;
-    keeping: keepingSink.KeepingSink;
+    recording: recordingSink.RecordingSink;
     runner: runnerLink.RunnerLink;
   }): request.RequestResult {
-    const { key, held, outcome, keeping, runner } = parameters;
-    const { attempt } = held.claim;
+    const { key, stored, outcome, recording, runner } = parameters;
+    const { attempt } = stored.claim;
     switch (outcome.kind) {
       case request.AttemptOutcomeKind.Complete: {
-        const answer = keeping.kept;
+        const answer = recording.answer;
         const state = claimStore.ClaimState.Settled;
         // The answer need not wait for this write: until it is done, a repeated
         // request collects the answer from the runner.
         this.parameters.lifeCycle.run("settle", async () => {
-          const written = await this.write(key, held, { state, answer });
+          const written = await this.changeClaim(key, stored, {
+            state,
+            answer,
+          });
           if (written) runner.close(attempt, true);
         });
         const { finishReason, promptTokens } = outcome;
@@ -42,17 +45,17 @@
       case request.AttemptOutcomeKind.Broken: {
         const state = claimStore.ClaimState.Unsettled;
         this.parameters.lifeCycle.run("settle", async () => {
-          await this.write(key, held, { state });
+          await this.changeClaim(key, stored, { state });
         });
-        return brokenResult(keeping, outcome.reason);
+        return unfinishedResult(recording, outcome.reason);
       }
       case request.AttemptOutcomeKind.Unsettled:
         // The claim stays: when the runner is heard again, it can still tell.
-        return brokenResult(keeping, outcome.reason);
+        return unfinishedResult(recording, outcome.reason);
       case request.AttemptOutcomeKind.Deadline:
-        return brokenResult(keeping, "deadline passed");
-      case request.AttemptOutcomeKind.Held:
-        return brokenResult(keeping, "put in quarantine");
+        return unfinishedResult(recording, "deadline passed");
+      case request.AttemptOutcomeKind.Quarantined:
+        return unfinishedResult(recording, "put in quarantine");
       case request.AttemptOutcomeKind.CallerGone:
       case request.AttemptOutcomeKind.NeverStarted:
         return { kind: request.ResultKind.CallerGone };
@@ -60,18 +63,18 @@
   }
 
   /** Changes a held claim; false if it is held no more or the store is away. */
-  async write(
+  async changeClaim(
     key: string,
-    held: claimStore.HeldClaim,
+    stored: claimStore.StoredClaim,
     change: Pick<claimStore.Claim, "state" | "answer">,
   ): Promise<boolean> {
-    const claim = { ...held.claim, ...change };
+    const claim = { ...stored.claim, ...change };
     const written = await this.parameters.claims.write({
       key,
       claim,
-      base: held,
+      base: stored,
     });
-    return written.kind === "held";
+    return written.kind === "written";
   }
 }
 
@@ -81,7 +84,7 @@
 }
 
 /** What is told of an answer that broke off. */
-export function brokenResult(
+export function unfinishedResult(
   sink: answerSink.AnswerSink,
   reason: string,
 ): request.RequestResult {
--- a/packages/daemon/src/dispatch/outgoing_attempt.ts
+++ b/packages/daemon/src/dispatch/outgoing_attempt.ts
@@ -10,13 +10,13 @@
   End = "end",
   Settled = "settled",
   /** The upstream process was replaced: nobody can tell any more. */
-  Lost = "lost",
+  UpstreamReplaced = "lost",
   /** No link for so long that it is given up. */
   Unreachable = "unreachable",
   Deadline = "deadline",
   CallerGone = "caller-gone",
   /** It was put in quarantine. */
-  Held = "held",
+  Quarantined = "held",
 }
 
 /** One thing that happened to an attempt. */
@@ -26,18 +26,18 @@
   | { kind: AttemptEventKind.Pieces; pieces: wire.AnswerPiece[] }
   | { kind: AttemptEventKind.End; end: wire.AttemptEnd }
   | { kind: AttemptEventKind.Settled; state: wire.AttemptState }
-  | { kind: AttemptEventKind.Lost }
+  | { kind: AttemptEventKind.UpstreamReplaced }
   | { kind: AttemptEventKind.Unreachable }
   | { kind: AttemptEventKind.Deadline }
   | { kind: AttemptEventKind.CallerGone }
-  | { kind: AttemptEventKind.Held };
+  | { kind: AttemptEventKind.Quarantined };
 
 /** An attempt as the entry that made it sees it. */
 export class OutgoingAttempt {
   readonly events = new common.Channel<AttemptEvent>();
   /** Offset of the next piece expected. */
   nextOffset = 0;
-  #headSeen = false;
+  #headReceived = false;
 
   constructor(
     readonly attempt: wire.Attempt,
@@ -46,9 +46,9 @@
   ) {}
 
   /** Takes in the head of the answer; a repeated one after a resume is dropped. */
-  takeHead(head: wire.AnswerHead): void {
-    if (this.#headSeen) return;
-    this.#headSeen = true;
+  receiveHead(head: wire.AnswerHead): void {
+    if (this.#headReceived) return;
+    this.#headReceived = true;
     this.events.push({ kind: AttemptEventKind.Head, head });
   }
 
@@ -56,8 +56,8 @@
    * Takes in pieces at an offset. After a resume some may come twice: what was
    * taken before is cut off. A gap cannot be mended here and breaks the answer.
    */
-  takePieces(offset: number, pieces: wire.AnswerPiece[]): void {
-    if (offset > this.nextOffset) return this.#break("pieces missing");
+  receivePieces(offset: number, pieces: wire.AnswerPiece[]): void {
+    if (offset > this.nextOffset) return this.#breakOff("pieces missing");
     const fresh = pieces.slice(this.nextOffset - offset);
     if (fresh.length === 0) return;
     this.nextOffset += fresh.length;
@@ -65,15 +65,15 @@
   }
 
   /** Takes in the end; one that comes before all pieces breaks the answer. */
-  takeEnd(offset: number, end: wire.AttemptEnd): void {
+  receiveEnd(offset: number, end: wire.AttemptEnd): void {
     const complete = end.kind === wire.EndKind.Complete;
     if (complete && offset !== this.nextOffset) {
-      return this.#break("end before all pieces");
+      return this.#breakOff("end before all pieces");
     }
     this.events.push({ kind: AttemptEventKind.End, end });
   }
 
-  #break(reason: string): void {
+  #breakOff(reason: string): void {
     const { Broken } = wire.EndKind;
     const end: wire.AttemptEnd = { kind: Broken, reason, endedLife: "" };
     this.events.push({ kind: AttemptEventKind.End, end });
--- a/packages/daemon/src/dispatch/pending_dispatches.ts
+++ b/packages/daemon/src/dispatch/pending_dispatches.ts
@@ -13,7 +13,7 @@
  */
 export class PendingDispatches {
   #pending: { number: number; promptTokens: number }[] = [];
-  #sent = 0;
+  #sentCount = 0;
   readonly #reserved = new Map<Reservation, number>();
 
   /** Dispatches not reported yet, and reservations. */
@@ -40,18 +40,18 @@
 
   /** Notes a dispatch. */
   add(promptTokens: number): void {
-    this.#sent++;
-    this.#pending.push({ number: this.#sent, promptTokens });
+    this.#sentCount++;
+    this.#pending.push({ number: this.#sentCount, promptTokens });
   }
 
   /** A report includes the first `count` dispatches over this link. */
-  reported(count: number): void {
+  removeReported(count: number): void {
     this.#pending = this.#pending.filter(({ number }) => number > count);
   }
 
   /** A new link counts its dispatches from nothing. */
   reset(): void {
     this.#pending = [];
-    this.#sent = 0;
+    this.#sentCount = 0;
   }
 }
--- a/packages/daemon/src/dispatch/pending_dispatches_test.ts
+++ b/packages/daemon/src/dispatch/pending_dispatches_test.ts
@@ -19,7 +19,7 @@
   const pending = new pendingDispatches.PendingDispatches();
   pending.add(10);
   pending.add(5);
-  pending.reported(1);
+  pending.removeReported(1);
   t.is(pending.count, 1);
   t.is(pending.promptTokens, 5);
 });
--- a/packages/daemon/src/dispatch/keeping_sink.ts
+++ b/packages/daemon/src/dispatch/recording_sink.ts
@@ -3,13 +3,13 @@
 import type * as claimStore from "./claim_store.ts";
 
 /** Bytes of an answer that a claim may hold. */
-const LARGEST_KEPT_ANSWER = 64 * 1024;
+const MAX_STORED_ANSWER_BYTES = 64 * 1024;
 
 /** Passes an answer on and keeps it, if it is small, for the claim. */
-export class KeepingSink implements answerSink.AnswerSink {
+export class RecordingSink implements answerSink.AnswerSink {
   #head: wire.AnswerHead = { status: 200, headers: [] };
-  #chunks: Buffer[] = [];
-  #bytes = 0;
+  #recorded: Buffer[] = [];
+  #byteCount = 0;
 
   constructor(readonly inner: answerSink.AnswerSink) {}
 
@@ -19,9 +19,9 @@
   }
 
   /** The answer, or `undefined` if it is too large to keep. */
-  get kept(): claimStore.KeptAnswer | undefined {
-    if (this.#bytes > LARGEST_KEPT_ANSWER) return undefined;
-    const body = Buffer.concat(this.#chunks).toString("base64");
+  get answer(): claimStore.StoredAnswer | undefined {
+    if (this.#byteCount > MAX_STORED_ANSWER_BYTES) return undefined;
+    const body = Buffer.concat(this.#recorded).toString("base64");
     return { head: this.#head, body };
   }
 
@@ -34,17 +34,17 @@
   /** Keeps and passes on pieces. */
   async pieces(pieces: wire.AnswerPiece[]): Promise<void> {
     for (const piece of pieces) {
-      this.#bytes += piece.length;
-      if (this.#bytes > LARGEST_KEPT_ANSWER) this.#chunks = [];
-      else this.#chunks.push(Buffer.from(piece));
+      this.#byteCount += piece.length;
+      if (this.#byteCount > MAX_STORED_ANSWER_BYTES) this.#recorded = [];
+      else this.#recorded.push(Buffer.from(piece));
     }
     await this.inner.pieces(pieces);
   }
 
   /** Forgets what was kept. */
   reset(): void {
-    this.#chunks = [];
-    this.#bytes = 0;
+    this.#recorded = [];
+    this.#byteCount = 0;
     this.inner.reset();
   }
 }
--- a/packages/daemon/src/dispatch/request.ts
+++ b/packages/daemon/src/dispatch/request.ts
@@ -1,7 +1,7 @@
 import type * as wire from "@geraniumkeel/wire";
 import type * as bodySender from "./body_sender.ts";
 import type * as runnerLink from "./runner_link.ts";
-import type * as watchedAttempts from "./watched_attempts.ts";
+import type * as stoppableRequest from "./stoppable_request.ts";
 
 /** A request accepted from a caller. */
 export interface AcceptedRequest {
@@ -26,7 +26,7 @@
   window: number;
   /** Rest of a large body; it can be sent only once. */
   body?: bodySender.BodySender;
-  watched: watchedAttempts.WatchedAttempts;
+  watched: stoppableRequest.StoppableRequest;
 }
 
 /** How a request ended, as far as the caller must be told. */
@@ -86,7 +86,7 @@
   Deadline = "deadline",
   CallerGone = "caller-gone",
   /** It was put in quarantine while it was under way. */
-  Held = "held",
+  Quarantined = "held",
 }
 
 /** How one attempt ended. */
@@ -105,7 +105,7 @@
     }
   | { kind: AttemptOutcomeKind.Deadline }
   | { kind: AttemptOutcomeKind.CallerGone }
-  | { kind: AttemptOutcomeKind.Held };
+  | { kind: AttemptOutcomeKind.Quarantined };
 
 /** Why an attempt never started. */
 export enum NotStartedCause {
--- a/packages/daemon/src/dispatch/retry_budget.ts
+++ b/packages/daemon/src/dispatch/retry_budget.ts
@@ -1,16 +1,16 @@
 /** How many repeats a budget pays for. */
-export interface RetryBudgetShape {
+export interface RetryBudgetParameters {
   /** Repeats earned by each first attempt. */
   earnedPerRequest: number;
   /** Repeats at hand at most, and at first for a service with little traffic. */
-  largestBalance: number;
+  maxBalance: number;
   initialBalance: number;
 }
 
 /** A tenth of the traffic, with a little at hand for services with few calls. */
-const USUAL_SHAPE: RetryBudgetShape = {
+const DEFAULT_PARAMETERS: RetryBudgetParameters = {
   earnedPerRequest: 0.1,
-  largestBalance: 50,
+  maxBalance: 50,
   initialBalance: 10,
 };
 
@@ -21,8 +21,8 @@
 export class RetryBudget {
   #balance: number;
 
-  constructor(readonly shape: RetryBudgetShape = USUAL_SHAPE) {
-    this.#balance = shape.initialBalance;
+  constructor(readonly parameters: RetryBudgetParameters = DEFAULT_PARAMETERS) {
+    this.#balance = parameters.initialBalance;
   }
 
   /** Retries that could be paid now. */
@@ -32,8 +32,8 @@
 
   /** A first attempt was made. */
   earn(): void {
-    const next = this.#balance + this.shape.earnedPerRequest;
-    this.#balance = Math.min(next, this.shape.largestBalance);
+    const next = this.#balance + this.parameters.earnedPerRequest;
+    this.#balance = Math.min(next, this.parameters.maxBalance);
   }
 
   /** Pays for one retry; false when the budget is spent. */
--- a/packages/daemon/src/dispatch/runner_directory.ts
+++ b/packages/daemon/src/dispatch/runner_directory.ts
@@ -5,7 +5,7 @@
 import * as subscription from "./subscription.ts";
 
 /** A runner with what ends its task. */
-interface KnownRunner {
+interface SubscribedRunner {
   link: runnerLink.RunnerLink;
   stop: AbortController;
   /** When the list first lacked it, by this process's clock. */
@@ -18,7 +18,7 @@
  */
 export class RunnerDirectory {
   readonly changed = new common.ChangeNotice();
-  readonly #runners = new Map<string, KnownRunner>();
+  readonly #runners = new Map<string, SubscribedRunner>();
 
   constructor(
     readonly parameters: {
@@ -74,7 +74,7 @@
         continue;
       }
       if (runner.link.attempts.size > 0) continue;
-      if (!moved && this.#mayComeBack(runner)) continue;
+      if (!moved && this.#mayBeListedAgain(runner)) continue;
       runner.stop.abort();
       this.#runners.delete(name);
     }
@@ -90,7 +90,7 @@
    * that, in the middle of a switch, would have its whole group hold until the
    * list names it again; its link tells better whether it is there.
    */
-  #mayComeBack(runner: KnownRunner): boolean {
+  #mayBeListedAgain(runner: SubscribedRunner): boolean {
     runner.unlistedAt ??= common.now();
     const { goneAfter } = this.parameters.link.settings.timing;
     const unlisted = common.now() - runner.unlistedAt;
@@ -101,7 +101,9 @@
     const link = new runnerLink.RunnerLink(host, this.parameters.link);
     const stop = new AbortController();
     this.#runners.set(host.name, { link, stop, unlistedAt: undefined });
-    const both = AbortSignal.any([signal, stop.signal]);
-    this.parameters.lifeCycle.run(`runner ${host.name}`, () => link.run(both));
+    const stopped = AbortSignal.any([signal, stop.signal]);
+    this.parameters.lifeCycle.run(`runner ${host.name}`, () =>
+      link.run(stopped),
+    );
   }
 }
--- a/packages/daemon/src/dispatch/runner_link.ts
+++ b/packages/daemon/src/dispatch/runner_link.ts
@@ -9,8 +9,8 @@
 import * as outgoingAttempt from "./outgoing_attempt.ts";
 import * as pendingDispatches from "./pending_dispatches.ts";
 
-const FIRST_PAUSE_MILLISECONDS = 50;
-const LONGEST_PAUSE_MILLISECONDS = 1_000;
+const INITIAL_PAUSE_MILLISECONDS = 50;
+const MAX_PAUSE_MILLISECONDS = 1_000;
 
 /** What an entry's links to runners share. */
 export interface RunnerLinkParameters {
@@ -55,7 +55,7 @@
   /** The host list calls it leaving, or names it no more. */
   listedLeaving = false;
   /** It said so itself, or an operator did; holds for its incarnation. */
-  #saidLeaving = false;
+  #announcedLeaving = false;
   /** When this rank's engine was last seen to step, or had nothing to do. */
   progressAt = common.now();
   /** It turned a dispatch away since its last load report. */
@@ -65,9 +65,9 @@
   #link: wire.Link | undefined;
   #linkNumber = 0;
   /** Runs while there is no link; at its end attempts are given up. */
-  #givingUp: NodeJS.Timeout | undefined;
+  #giveUpTimer: NodeJS.Timeout | undefined;
   /** The upstream process's clock as last heard, never extrapolated. */
-  #agentClock = 0;
+  #upstreamClock = 0;
   readonly #questions = new openQuestions.OpenQuestions();
 
   constructor(
@@ -77,7 +77,7 @@
 
   /** Whether it gets no new work, by whichever word came first. */
   get leaving(): boolean {
-    return this.listedLeaving || this.#saidLeaving;
+    return this.listedLeaving || this.#announcedLeaving;
   }
 
   /** Whether new work may be sent. */
@@ -119,15 +119,15 @@
   newAttempt(identifier: string): wire.Attempt | undefined {
     if (!this.hello || !this.#link) return undefined;
     const { incarnation } = this.hello;
-    const issuedAt = this.#agentClock;
+    const issuedAt = this.#upstreamClock;
     return { identifier, agentIncarnation: incarnation, issuedAt };
   }
 
   /** Keeps a link to the runner until the signal aborts. */
   async run(signal: AbortSignal): Promise<void> {
     const backOff = new common.BackOff({
-      firstMilliseconds: FIRST_PAUSE_MILLISECONDS,
-      longestMilliseconds: LONGEST_PAUSE_MILLISECONDS,
+      firstMilliseconds: INITIAL_PAUSE_MILLISECONDS,
+      longestMilliseconds: MAX_PAUSE_MILLISECONDS,
       random: this.parameters.random,
     });
     while (!signal.aborted) {
@@ -144,11 +144,11 @@
         continue;
       }
       dialled.value.closeOn(signal);
-      const served = await this.#serve(dialled.value, signal);
-      if (served) backOff.reset();
+      const greeted = await this.#serve(dialled.value, signal);
+      if (greeted) backOff.reset();
       else await common.sleep(backOff.pause(), signal);
     }
-    clearTimeout(this.#givingUp);
+    clearTimeout(this.#giveUpTimer);
     this.#giveUpAll({ kind: outgoingAttempt.AttemptEventKind.Unreachable });
   }
 
@@ -295,18 +295,18 @@
     this.#linkNumber++;
     const linkNumber = this.#linkNumber;
     const revision = this.parameters.revision();
-    const own = { settings, incarnation, linkNumber, revision };
-    link.send(entryHello.entryHello(own));
+    const parameters = { settings, incarnation, linkNumber, revision };
+    link.send(entryHello.entryHello(parameters));
     const hello = await link.receive();
     if (hello?.kind !== wire.MessageKind.Hello) {
       link.close();
       return false;
     }
-    this.#greet(hello);
+    this.#acceptHello(hello);
     this.#link = link;
     link.isBusy = () => this.attempts.size + this.#questions.count > 0;
-    clearTimeout(this.#givingUp);
-    link.onHeartbeat = (beat) => (this.#agentClock = beat.clock);
+    clearTimeout(this.#giveUpTimer);
+    link.onHeartbeat = (heartbeat) => (this.#upstreamClock = heartbeat.clock);
     for (const outgoing of this.attempts.values()) this.#resume(outgoing);
     logger.event(common.EventCode.LinkEstablished, { peer: this.host.name });
     this.parameters.onCapacity();
@@ -316,20 +316,20 @@
     }
     this.#link = undefined;
     const unreachable = outgoingAttempt.AttemptEventKind.Unreachable;
-    this.#givingUp = setTimeout(
+    this.#giveUpTimer = setTimeout(
       () => this.#giveUpAll({ kind: unreachable }),
       settings.timing.settleAfter,
     );
-    if (!signal.aborted) this.#reportEnd(link);
+    if (!signal.aborted) this.#logLinkEnd(link);
     return true;
   }
 
-  #greet(hello: wire.Hello): void {
+  #acceptHello(hello: wire.Hello): void {
     const replaced =
       this.hello !== undefined && this.hello.incarnation !== hello.incarnation;
     this.hello = hello;
-    this.#saidLeaving = hello.leaving;
-    this.#agentClock = hello.clock;
+    this.#announcedLeaving = hello.leaving;
+    this.#upstreamClock = hello.clock;
     this.#pending.reset();
     this.#isFull = false;
     this.progressAt = common.now();
@@ -338,7 +338,9 @@
     const code = common.EventCode.RunnerIncarnationChanged;
     this.parameters.logger.event(code, { peer });
     this.load = wire.idleLoad();
-    this.#giveUpAll({ kind: outgoingAttempt.AttemptEventKind.Lost });
+    this.#giveUpAll({
+      kind: outgoingAttempt.AttemptEventKind.UpstreamReplaced,
+    });
   }
 
   #resume(outgoing: outgoingAttempt.OutgoingAttempt): void {
@@ -355,79 +357,86 @@
       case wire.MessageKind.Refused: {
         const { reason } = message;
         const kind = outgoingAttempt.AttemptEventKind.Refused;
-        if (reason === wire.RefusalReason.Leaving) this.#noteLeaving();
+        if (reason === wire.RefusalReason.Leaving) this.#markLeaving();
         if (reason === wire.RefusalReason.Full) this.#isFull = true;
-        this.#open(message.identifier)?.events.push({ kind, reason });
+        this.#findAttempt(message.identifier)?.events.push({ kind, reason });
         return;
       }
       case wire.MessageKind.Head:
-        return this.#open(message.identifier)?.takeHead(message.head);
+        return this.#findAttempt(message.identifier)?.receiveHead(message.head);
       case wire.MessageKind.Pieces: {
         const { offset, pieces } = message;
-        return this.#open(message.identifier)?.takePieces(offset, pieces);
+        return this.#findAttempt(message.identifier)?.receivePieces(
+          offset,
+          pieces,
+        );
       }
       case wire.MessageKind.End:
-        return this.#open(message.identifier)?.takeEnd(
+        return this.#findAttempt(message.identifier)?.receiveEnd(
           message.offset,
           message.end,
         );
       case wire.MessageKind.BodyWanted:
-        return this.#open(message.identifier)?.body?.want(message.index);
+        return this.#findAttempt(message.identifier)?.body?.sendFrom(
+          message.index,
+        );
       case wire.MessageKind.Settled:
-        return this.#settled(message);
+        return this.#acceptSettled(message);
       case wire.MessageKind.OrderAnswer:
       case wire.MessageKind.ClaimsAnswer:
       case wire.MessageKind.StateAnswer:
         return this.#questions.answer(message.question, message);
       case wire.MessageKind.Load:
-        return this.#takeLoad(message);
+        return this.#acceptLoad(message);
       case wire.MessageKind.CacheEvents:
         return this.parameters.onCacheEvents(this, message.changes);
       case wire.MessageKind.Leaving:
-        return this.#noteLeaving();
+        return this.#markLeaving();
       default:
         return;
     }
   }
 
-  #settled(
+  #acceptSettled(
     message: Extract<wire.Message, { kind: wire.MessageKind.Settled }>,
   ): void {
     const { question, state } = message;
     if (question !== 0) return this.#questions.answer(question, message);
     const kind = outgoingAttempt.AttemptEventKind.Settled;
-    this.#open(message.identifier)?.events.push({ kind, state });
+    this.#findAttempt(message.identifier)?.events.push({ kind, state });
   }
 
   /** A frame of an attempt that is not open belongs to no request any more. */
-  #open(identifier: string): outgoingAttempt.OutgoingAttempt | undefined {
+  #findAttempt(
+    identifier: string,
+  ): outgoingAttempt.OutgoingAttempt | undefined {
     const outgoing = this.attempts.get(identifier);
     if (!outgoing) this.parameters.metrics.count(common.Metric.StaleFrames);
     return outgoing;
   }
 
-  #takeLoad(
+  #acceptLoad(
     message: Extract<wire.Message, { kind: wire.MessageKind.Load }>,
   ): void {
     const { load, dispatches } = message;
-    const stepped = load.step !== this.load.step;
-    if (stepped || load.sequences === 0) this.progressAt = common.now();
+    const iterated = load.step !== this.load.step;
+    if (iterated || load.sequences === 0) this.progressAt = common.now();
     if (this.load.sequences === 0) this.progressAt = common.now();
     this.load = load;
     this.#isFull = false;
-    this.#agentClock = message.clock;
-    this.#pending.reported(dispatches);
+    this.#upstreamClock = message.clock;
+    this.#pending.removeReported(dispatches);
     this.parameters.onLoad(this);
   }
 
-  #noteLeaving(): void {
-    if (this.#saidLeaving) return;
-    this.#saidLeaving = true;
+  #markLeaving(): void {
+    if (this.#announcedLeaving) return;
+    this.#announcedLeaving = true;
     const peer = this.host.name;
     this.parameters.logger.event(common.EventCode.RunnerLeaving, { peer });
   }
 
-  #reportEnd(link: wire.Link): void {
+  #logLinkEnd(link: wire.Link): void {
     const { logger, metrics } = this.parameters;
     const silent = link.end === wire.LinkEnd.Silent;
     if (silent) metrics.count(common.Metric.LinksSilent);
--- a/packages/daemon/src/dispatch/runner_obtainer.ts
+++ b/packages/daemon/src/dispatch/runner_obtainer.ts
@@ -26,7 +26,7 @@
     reason: request.NotRunReason,
     waitMilliseconds?: number,
   ): request.RequestResult;
-  mayRetry(
+  permitRetry(
     accepted: request.AcceptedRequest,
     failures: number,
     cause: request.NotStartedCause,
--- a/packages/daemon/src/dispatch/watched_attempts.ts
+++ b/packages/daemon/src/dispatch/stoppable_request.ts
@@ -2,18 +2,18 @@
 import type * as watchedRequests from "../quarantine/watched_requests.ts";
 
 /** An accepted request as the quarantine sees it. */
-export class WatchedAttempts implements watchedRequests.WatchedRequest {
+export class StoppableRequest implements watchedRequests.WatchedRequest {
   /** Ends the attempt under way, if it may be ended. */
   onStop: (() => void) | undefined;
 
   constructor(
     readonly service: string,
-    readonly name: fingerprint.LazyFingerprint,
+    readonly lazyFingerprint: fingerprint.LazyFingerprint,
   ) {}
 
   /** Name of the request by what it asks for. */
   get fingerprint(): string {
-    return this.name.value;
+    return this.lazyFingerprint.value;
   }
 
   /** It is put in quarantine while it is under way. */
--- a/packages/daemon/src/dispatch/subscription.ts
+++ b/packages/daemon/src/dispatch/subscription.ts
@@ -2,7 +2,7 @@
 import type * as backingServices from "@geraniumkeel/backing_services";
 
 /** Runners of one service that an entry links to at least, if there are as many. */
-export const SUBSCRIBED_RUNNERS = 128;
+export const MIN_SUBSCRIBED_RUNNERS = 128;
 
 /** Where an entry stands. */
 export interface Position {
@@ -30,38 +30,38 @@
     services.set(host.service, hosts);
   }
   for (const hosts of services.values()) {
-    let taken = 0;
-    for (const unit of unitsInOrder(parameters.self, hosts)) {
-      if (taken >= SUBSCRIBED_RUNNERS) break;
-      for (const host of unit) chosen.set(host.name, host);
-      taken += unit.length;
+    let chosenCount = 0;
+    for (const group of groupsInOrder(parameters.self, hosts)) {
+      if (chosenCount >= MIN_SUBSCRIBED_RUNNERS) break;
+      for (const host of group) chosen.set(host.name, host);
+      chosenCount += group.length;
     }
   }
   return chosen;
 }
 
-function unitsInOrder(
+function groupsInOrder(
   self: Position,
   hosts: backingServices.Host[],
 ): backingServices.Host[][] {
-  const units = new Map<string, backingServices.Host[]>();
+  const groups = new Map<string, backingServices.Host[]>();
   for (const host of hosts) {
     const name = host.group || host.name;
-    const unit = units.get(name) ?? [];
-    unit.push(host);
-    units.set(name, unit);
+    const group = groups.get(name) ?? [];
+    group.push(host);
+    groups.set(name, group);
   }
-  return [...units]
-    .map(([name, unit]) => ({
-      unit,
-      distance: distanceClass(self, unit[0]),
+  return [...groups]
+    .map(([name, group]) => ({
+      group,
+      distance: distanceClass(self, group[0]),
       score: common.hash32(`${self.host} ${name}`),
     }))
     .sort(
       (left, right) =>
         left.distance - right.distance || left.score - right.score,
     )
-    .map(({ unit }) => unit);
+    .map(({ group }) => group);
 }
 
 /** 0 for the same place, 1 for the same region, 2 beyond. */
--- a/packages/daemon/src/dispatch/subscription_test.ts
+++ b/packages/daemon/src/dispatch/subscription_test.ts
@@ -21,23 +21,26 @@
   });
 }
 
-function chosenBy(host: string, hosts: backingServices.Host[]): Set<string> {
+function namesChosenBy(
+  host: string,
+  hosts: backingServices.Host[],
+): Set<string> {
   const self = { host, place: "place-0", region: "region-0" };
   return new Set(subscription.chooseRunners({ self, hosts }).keys());
 }
 
 test("all runners are linked while there are few", (t) => {
-  t.is(chosenBy("entry-0", upstreams(1, 16)).size, 16);
+  t.is(namesChosenBy("entry-0", upstreams(1, 16)).size, 16);
 });
 
 test("links stay bounded and take whole groups", (t) => {
   const hosts = upstreams(24, 64);
-  const chosen = chosenBy("entry-0", hosts);
-  t.is(chosen.size, subscription.SUBSCRIBED_RUNNERS);
+  const chosen = namesChosenBy("entry-0", hosts);
+  t.is(chosen.size, subscription.MIN_SUBSCRIBED_RUNNERS);
   const groups = new Set(
     hosts.filter(({ name }) => chosen.has(name)).map(({ group }) => group),
   );
-  t.is(groups.size, subscription.SUBSCRIBED_RUNNERS / 64);
+  t.is(groups.size, subscription.MIN_SUBSCRIBED_RUNNERS / 64);
 });
 
 test("every group is linked by several of 330 entries", (t) => {
--- a/packages/daemon/src/entry/create_context.ts
+++ b/packages/daemon/src/entry/create_context.ts
@@ -10,7 +10,7 @@
 import type * as runnerObtainer from "../dispatch/runner_obtainer.ts";
 import * as claimStore from "../dispatch/claim_store.ts";
 import * as dispatcherModule from "../dispatch/dispatcher.ts";
-import * as keyedRequest from "../dispatch/keyed_request.ts";
+import * as keyedRequests from "../dispatch/keyed_requests.ts";
 import * as lostClaims from "../dispatch/lost_claims.ts";
 import * as retryBudget from "../dispatch/retry_budget.ts";
 import * as runnerDirectory from "../dispatch/runner_directory.ts";
@@ -148,7 +148,7 @@
   const claims = new claimStore.ClaimStore({
     table: parameters.table,
     random,
-    patienceMilliseconds: timing.storePatience,
+    timeoutMilliseconds: timing.storePatience,
   });
   const owns = (duty: string) => ownsDuty(duty, host, members);
   const lost = new lostClaims.LostClaims({
@@ -158,7 +158,7 @@
     isOwner: owns,
     host,
   });
-  const keyed = new keyedRequest.KeyedRequests({
+  const keyed = new keyedRequests.KeyedRequests({
     lostClaims: lost,
     claims,
     runners,
--- a/packages/daemon/src/entry/generate_handler.ts
+++ b/packages/daemon/src/entry/generate_handler.ts
@@ -4,7 +4,7 @@
 import * as neverthrow from "neverthrow";
 import * as wire from "@geraniumkeel/wire";
 import * as request from "../dispatch/request.ts";
-import * as watchedAttempts from "../dispatch/watched_attempts.ts";
+import * as stoppableRequest from "../dispatch/stoppable_request.ts";
 import * as problem from "../operator/problem.ts";
 import * as fingerprint from "../quarantine/fingerprint.ts";
 import * as prefixIndex from "../routing/prefix_index.ts";
@@ -177,7 +177,7 @@
     prefixBlocks: prefixIndex.prefixBlocks(prompt),
     runnerConcurrency: service.runnerConcurrency,
     window: WINDOW,
-    watched: new watchedAttempts.WatchedAttempts(service.name, name),
+    watched: new stoppableRequest.StoppableRequest(service.name, name),
   };
 }
 
--- a/packages/daemon/src/entry/start_entry.ts
+++ b/packages/daemon/src/entry/start_entry.ts
@@ -217,7 +217,7 @@
       durationMilliseconds: 3 * claimRemovalPeriod,
       random: context.random,
     }),
-    preferred: () => {
+    isPreferredHolder: () => {
       const alive = members.alive.map((member) => member.host);
       return common.rendezvous(CLAIM_REMOVAL_LEASE, alive) === host;
     },
--- a/packages/daemon/src/forwarding/forwarder_test.ts
+++ b/packages/daemon/src/forwarding/forwarder_test.ts
@@ -130,7 +130,7 @@
   const repeats = scene.repeats ?? 5;
   const budget = new retryBudget.RetryBudget({
     earnedPerRequest: 0,
-    largestBalance: repeats,
+    maxBalance: repeats,
     initialBalance: repeats,
   });
   const seen: Seen = { text: "", status: 0, ended: "", refusal: undefined };
--- a/packages/daemon/src/gateway/gateway.ts
+++ b/packages/daemon/src/gateway/gateway.ts
@@ -356,7 +356,7 @@
     const largestBalance = (allowance * USED_RETRY_SHARE) / entries;
     const created = new retryBudget.RetryBudget({
       earnedPerRequest: share * USED_RETRY_SHARE,
-      largestBalance,
+      maxBalance: largestBalance,
       // A process that starts anew may have spent its balance just before.
       initialBalance: largestBalance / 2,
     });
--- a/packages/stand_ins/src/system/switched_off_test.ts
+++ b/packages/stand_ins/src/system/switched_off_test.ts
@@ -135,7 +135,7 @@
   t.is(naive, "abccd");
   const attempt = { identifier: "1", agentIncarnation: "one", issuedAt: 0 };
   const outgoing = new outgoingAttempt.OutgoingAttempt(attempt, 8);
-  for (const [offset, pieces] of frames) outgoing.takePieces(offset, pieces);
+  for (const [offset, pieces] of frames) outgoing.receivePieces(offset, pieces);
   outgoing.events.close();
   let text = "";
   for await (const event of outgoing.events) {
