--- a/packages/daemon/src/dispatch/pending_dispatches_test.ts
+++ b/packages/daemon/src/dispatch/pending_dispatches_test.ts
@@ -3,7 +3,7 @@
 
 const test = ava.default;
 
-test("a reservation counts until it is released, and only once", (t) => {
+test("a reservation counts until its release, and a second release has no effect", (t) => {
   const pending = new pendingDispatches.PendingDispatches();
   const first = pending.reserve(10);
   pending.reserve(5);
@@ -15,7 +15,7 @@
   t.is(pending.promptTokens, 5);
 });
 
-test("a dispatch counts until a report includes it", (t) => {
+test("a dispatch counts until a load report includes it", (t) => {
   const pending = new pendingDispatches.PendingDispatches();
   pending.add(10);
   pending.add(5);
@@ -24,9 +24,10 @@
   t.is(pending.promptTokens, 5);
 });
 
-// The link to a runner is replaced. Its dispatches are counted anew, but a
-// request that holds a place is still about to come.
-test("a new link forgets dispatches and keeps reservations", (t) => {
+// A new link to a runner counts dispatches from 0 again, but a request with a
+// reservation is still about to be dispatched. If its reservation were lost,
+// the runner would be sent more than it has capacity for.
+test("a new link drops pending dispatches but not reservations", (t) => {
   const pending = new pendingDispatches.PendingDispatches();
   pending.add(10);
   const reservation = pending.reserve(5);
--- a/packages/daemon/src/dispatch/subscription_test.ts
+++ b/packages/daemon/src/dispatch/subscription_test.ts
@@ -29,11 +29,11 @@
   return new Set(subscription.chooseRunners({ self, hosts }).keys());
 }
 
-test("all runners are linked while there are few", (t) => {
+test("all runners of a service are linked if there are few", (t) => {
   t.is(namesChosenBy("entry-0", upstreams(1, 16)).size, 16);
 });
 
-test("links stay bounded and take whole groups", (t) => {
+test("an entry links to a bounded number of runners, in complete groups", (t) => {
   const hosts = upstreams(24, 64);
   const chosen = namesChosenBy("entry-0", hosts);
   t.is(chosen.size, subscription.MIN_SUBSCRIBED_RUNNERS);
@@ -43,7 +43,7 @@
   t.is(groups.size, subscription.MIN_SUBSCRIBED_RUNNERS / 64);
 });
 
-test("every group is linked by several of 330 entries", (t) => {
+test("each group is linked by at least two of 330 entries", (t) => {
   const hosts = upstreams(24, 64);
   const counts = new Map<string, number>();
   for (let index = 0; index < 330; index++) {
