--- a/packages/daemon/src/dispatch/claim_removal.ts
+++ b/packages/daemon/src/dispatch/claim_removal.ts
@@ -2,16 +2,19 @@
 import type * as lease from "../lease/lease.ts";
 import type * as claimStore from "./claim_store.ts";
 
+/** Rows that are read at once. */
 const BATCH_ROWS = 200;
 
 /**
- * Removes claims past their retention, in batches, at whichever entry holds the
- * lease of this duty. Two at once would only delete the same rows.
+ * Removes claims past their retention, one batch of rows each period, until the
+ * signal aborts. Only the entry that has the lease for this duty does so. The
+ * lease saves work and is not needed for safety: two entries at once would only
+ * delete the same rows.
  */
 export async function removeOldClaims(parameters: {
   claims: claimStore.ClaimStore;
   lease: lease.Lease;
-  /** Whether this entry should try for the lease at all. */
+  /** Whether this entry is the one that should acquire the lease. */
   isPreferredHolder: () => boolean;
   retentionMilliseconds: number;
   periodMilliseconds: number;
--- a/packages/daemon/src/dispatch/claim_store.ts
+++ b/packages/daemon/src/dispatch/claim_store.ts
@@ -3,49 +3,55 @@
 import * as backingServices from "@geraniumkeel/backing_services";
 import type * as wire from "@geraniumkeel/wire";
 
-/** State of a claim. */
+/** What a claim says about its attempt. */
 export enum ClaimState {
-  /** An attempt was named; only its runner knows what became of it. */
+  /** The claim names an attempt; only its runner knows the outcome. */
   Claimed = "claimed",
-  /** It ran. */
+  /** The attempt ran to completion. */
   Settled = "settled",
-  /** It cannot be known whether it ran. */
+  /** The attempt may have run, and its outcome cannot be learned. */
   Unsettled = "unsettled",
 }
 
-/** Answer kept with a settled claim, for replay. */
+/** Answer stored with a settled claim, for repeated requests. */
 export interface StoredAnswer {
   head: wire.AnswerHead;
   /** Body in base64. */
   body: string;
 }
 
-/** What the table holds of one idempotency key. */
+/**
+ * Row of the table service for one idempotency key. It names the only attempt
+ * that may run for the key.
+ */
 export interface Claim {
+  /** Random text, new with each write, by which a writer knows its own row. */
   nonce: string;
-  /** Digest of the request: the same key may not be used for another. */
+  /** Digest of the request; the key may not be used for a different request. */
   digest: string;
   state: ClaimState;
-  /** Entry that made the claim. */
+  /** Host of the entry that wrote the claim. */
   entry: string;
-  /** Runner that the attempt was, or is about to be, sent to. */
+  /** Host of the runner that the attempt was, or is about to be, sent to. */
   runner: string;
   attempt: wire.Attempt;
-  /** Wall-clock time in milliseconds, for removal only. */
+  /** Wall-clock time in milliseconds, used only to remove old claims. */
   createdAt: number;
   answer?: StoredAnswer;
 }
 
-/** A claim with the table revision on which a change must be based. */
+/** A claim in the table, with the revision on which a change must be based. */
 export interface StoredClaim {
   claim: Claim;
   revision: backingServices.Revision;
 }
 
-/** What became of writing a claim. */
+/** Outcome of writing a claim. */
 export type ClaimWriteResult =
   | { kind: "written"; stored: StoredClaim }
+  /** The row is not at the expected revision: `stored` is there instead. */
   | { kind: "exists"; stored: StoredClaim }
+  /** The table service did not confirm the write; it may have taken effect. */
   | { kind: "store-unavailable" };
 
 const KEY_PREFIX = "claims/";
@@ -55,7 +61,11 @@
   return `${KEY_PREFIX}${account}/${common.hashKey(idempotencyKey)}`;
 }
 
-/** Claims of non-repeatable requests in the table service. */
+/**
+ * Reads and writes claims in the table service. With claims, entries ensure
+ * that a request that may not be repeated runs at most once per idempotency
+ * key.
+ */
 export class ClaimStore {
   constructor(
     readonly parameters: {
@@ -66,9 +76,11 @@
   ) {}
 
   /**
-   * Writes a claim if there is none, or in place of `base`. The claim names the
-   * runner before the request is sent to it: whoever finds the claim later can
-   * settle the attempt there, also against an entry that is only paused.
+   * Writes a claim if there is none, or in place of `base`. An entry writes the
+   * claim, with the runner's name, before it sends the request to that runner.
+   * Any entry that finds the claim later can therefore settle the attempt at
+   * the runner, even if the entry that wrote it is only paused and sends its
+   * request afterwards.
    */
   async write(parameters: {
     key: string;
@@ -105,7 +117,12 @@
     }
   }
 
-  /** Removes up to `limit` claims made before a time; returns how many. */
+  /**
+   * Reads up to `limit` rows from the key `from` on, or from the first claim if
+   * it is empty, and removes those created before a wall-clock time in
+   * milliseconds. Returns how many it removed and the key from which to go on;
+   * `next` is `undefined` after the last row.
+   */
   async removeBatch(parameters: {
     before: number;
     from: string;
@@ -118,6 +135,7 @@
   > {
     const from = parameters.from || KEY_PREFIX;
     const { limit } = parameters;
+    // "0" is the character after "/", so the range covers all claim keys.
     const to = "claims0";
     const rows = await this.parameters.table.range({ from, to, limit });
     if (rows.isErr()) return neverthrow.err(rows.error);
--- a/packages/daemon/src/dispatch/claim_takeover.ts
+++ b/packages/daemon/src/dispatch/claim_takeover.ts
@@ -9,13 +9,21 @@
 import * as request from "./request.ts";
 import type * as runnerDirectory from "./runner_directory.ts";
 
-/** What an existing claim leaves to do. */
+/** What an entry does about a claim that another request wrote before. */
 export type ClaimResolution =
+  /** The request has its final result. */
   | { kind: "result"; result: request.RequestResult }
-  /** The claimed attempt never ran and never will: the claim is ours to use. */
+  /**
+   * The claimed attempt never ran and never will: this entry may write its own
+   * claim in place of `base`.
+   */
   | { kind: "take-over"; base: claimStore.StoredClaim };
 
-/** Finds out what to do about a claim that is there already. */
+/**
+ * Resolves a claim that is in the table already when a request arrives with the
+ * same idempotency key: replays the stored answer, collects the answer of the
+ * running attempt, or takes the claim over if the attempt never ran.
+ */
 export class ClaimTakeover {
   constructor(
     readonly parameters: {
@@ -27,7 +35,7 @@
     },
   ) {}
 
-  /** Finds out what became of the attempt that an existing claim names. */
+  /** Learns the outcome of the attempt that an existing claim names. */
   async resolve(
     accepted: request.AcceptedRequest,
     sink: answerSink.AnswerSink,
@@ -43,7 +51,11 @@
       case claimStore.ClaimState.Settled:
         return resolvedWith(await replay(claim, sink));
       case claimStore.ClaimState.Unsettled:
-        return resolvedWith(outcomeRecorder.mayHaveRun("its outcome was lost"));
+        return resolvedWith(
+          outcomeRecorder.mayHaveRun(
+            "the outcome of the earlier attempt is lost",
+          ),
+        );
       case claimStore.ClaimState.Claimed:
         return this.#settleAttempt(accepted, sink, key, stored);
     }
@@ -61,7 +73,9 @@
     const runner = this.parameters.runners.get(claim.runner);
     if (!runner?.hello || !runner.linked) {
       return resolvedWith(
-        outcomeRecorder.mayHaveRun("its runner cannot be asked now"),
+        outcomeRecorder.mayHaveRun(
+          "the runner of the earlier attempt is not linked",
+        ),
       );
     }
     if (runner.hello.incarnation !== attempt.agentIncarnation) {
@@ -69,7 +83,9 @@
         state: claimStore.ClaimState.Unsettled,
       });
       return resolvedWith(
-        outcomeRecorder.mayHaveRun("its runner was replaced"),
+        outcomeRecorder.mayHaveRun(
+          "the runner of the earlier attempt was replaced",
+        ),
       );
     }
     const state = await runner.settle(attempt, settleAfterMilliseconds);
@@ -112,17 +128,24 @@
           state: claimStore.ClaimState.Unsettled,
         });
         return resolvedWith(
-          outcomeRecorder.mayHaveRun("its outcome was forgotten"),
+          outcomeRecorder.mayHaveRun(
+            "the runner of the earlier attempt forgot its outcome",
+          ),
         );
       case undefined:
         return resolvedWith(
-          outcomeRecorder.mayHaveRun("its runner did not answer"),
+          outcomeRecorder.mayHaveRun(
+            "the runner of the earlier attempt did not answer",
+          ),
         );
     }
   }
 }
 
-/** Gives the kept answer of a settled claim again. */
+/**
+ * Sends the stored answer of a settled claim to the caller; `RanBefore` if none
+ * is stored.
+ */
 async function replay(
   claim: claimStore.Claim,
   sink: answerSink.AnswerSink,
--- a/packages/daemon/src/dispatch/keyed_requests.ts
+++ b/packages/daemon/src/dispatch/keyed_requests.ts
@@ -15,32 +15,39 @@
 import type * as runnerObtainer from "./runner_obtainer.ts";
 
 /**
- * Time for which a runner's room is kept while the claim is written. A store
- * that does not answer would else fill runners with requests that do not run,
- * and have others beside them wait.
+ * Longest time for which a request reserves capacity at a runner while its
+ * claim is written. Without this limit, a table service that does not answer
+ * would fill runners with requests that do not run, and other requests would
+ * wait.
  */
 const MAX_RESERVATION_MILLISECONDS = 250;
 
-/** What keyed requests need of the rest of the entry. */
+/** The parts of an entry that keyed requests use. */
 export interface KeyedRequestsParameters {
   claims: claimStore.ClaimStore;
   runners: runnerDirectory.RunnerDirectory;
   lifeCycle: common.LifeCycle;
   logger: common.Logger;
   history: common.HistoryRecorder;
+  /** Host of this entry. */
   host: string;
+  /** Longest wait for a runner's answer about an attempt. */
   settleAfterMilliseconds: number;
   quarantine: quarantine.Quarantine;
   lostClaims: lostClaims.LostClaims;
 }
 
 /**
- * Requests that may not be repeated, under a key with which the caller may ask
- * again at any entry. At most one attempt at a time is named by the claim in
- * the table, and it is settled at its runner before another is named.
+ * Runs requests that may not be repeated but have an idempotency key, with
+ * which the caller may send them again at any entry. The claim in the table
+ * names at most one attempt at a time. An entry settles that attempt at its
+ * runner before it names another one, so that the request never runs twice.
  */
 export class KeyedRequests {
-  /** Requests under way here by claim key; a second one waits for the first. */
+  /**
+   * Requests that run at this entry, by claim key. A second request with the
+   * same key waits for the first.
+   */
   readonly #running = new Map<string, Promise<unknown>>();
   readonly #recorder: outcomeRecorder.OutcomeRecorder;
   readonly #takeover: claimTakeover.ClaimTakeover;
@@ -54,7 +61,7 @@
     });
   }
 
-  /** Runs a keyed request to its final result. */
+  /** Runs a keyed request and returns its final result. */
   async run(
     obtainer: runnerObtainer.RunnerObtainer,
     accepted: request.AcceptedRequest,
@@ -72,9 +79,9 @@
         other.then(() => true),
         remaining,
       );
-      // Whether the other request has run by then is not known here.
+      // The other request is not finished by the deadline and may have run.
       if (!finished) {
-        const reason = "a request with this key is under way";
+        const reason = "another request with this key is still running";
         return { kind: request.ResultKind.MayHaveRun, reason };
       }
     }
@@ -127,10 +134,10 @@
         base,
       });
       clearTimeout(reservationTimer);
-      // Released here: nothing else runs before the dispatch counts instead.
+      // From here on the dispatch itself counts. No other code runs in between.
       release();
       if (written.kind === "store-unavailable") {
-        // Nothing was sent, and without the claim nothing may be.
+        // Nothing was sent, and nothing may be sent without a claim.
         return obtainer.notRun(request.NotRunReason.StoreUnavailable);
       }
       if (written.kind === "exists") {
@@ -147,7 +154,9 @@
         continue;
       }
       const { lostClaims: lost } = this.parameters;
-      // The claim stays: it names an attempt that was not sent.
+      // If the lost claims are not known, the attempt is not sent. Its claim
+      // may stay: a later request learns from the runner that the attempt never
+      // ran.
       if (!(await lost.gather())) {
         return obtainer.notRun(request.NotRunReason.StoreUnavailable);
       }
@@ -194,7 +203,10 @@
     }
   }
 
-  /** Puts a claim that the table had lost in place of a later one of this entry. */
+  /**
+   * Writes a claim that the table had lost in place of the later one that this
+   * entry wrote for the same key, and resolves it.
+   */
   async #restoreEarlier(
     earlier: Omit<claimStore.Claim, "nonce">,
     accepted: request.AcceptedRequest,
@@ -205,8 +217,10 @@
     const { claims } = this.parameters;
     const written = await claims.write({ key, claim: earlier, base });
     if (written.kind === "store-unavailable") {
-      const result = outcomeRecorder.mayHaveRun("its claim was lost");
-      return { kind: "result", result: result };
+      const result = outcomeRecorder.mayHaveRun(
+        "the claim of the earlier attempt was lost",
+      );
+      return { kind: "result", result };
     }
     const { stored } = written;
     return this.#takeover.resolve(accepted, sink, key, digest, stored);
@@ -228,7 +242,7 @@
   }
 }
 
-/** Digest of what the caller asked for. */
+/** Digest of the service and the work that the caller asked for. */
 function digestOf(accepted: request.AcceptedRequest): string {
   const hash = crypto.createHash("sha256").update(accepted.service);
   const { work } = accepted;
--- a/packages/daemon/src/dispatch/lost_claims.ts
+++ b/packages/daemon/src/dispatch/lost_claims.ts
@@ -5,51 +5,59 @@
 import type * as runnerLink from "./runner_link.ts";
 
 /**
- * Time for which claims that were written here are kept, in milliseconds: the age that a
- * copy of the table has at most, and the outage before its return.
+ * Time for which this entry retains the claims that it wrote. It covers the
+ * greatest age of a copy from which the table is restored, and the outage
+ * before that.
  */
 const RETENTION_MILLISECONDS = 30_000;
-/** Claims kept at most; each may have an answer of 64 KiB. */
+/** Bounds the memory for retained claims; each may have an answer of 64 KiB. */
 const MAX_RETAINED_CLAIMS = 500;
-/** Time for an upstream process to tell its claims. */
+/** Time within which an upstream process must answer with its claims. */
 const ANSWER_TIMEOUT_MILLISECONDS = 1_000;
 /**
- * Time after the table's return for which no keyed request is run while some upstream
- * process has not told its claims, in milliseconds.
+ * Time after a restore of the table for which no keyed request runs while an
+ * upstream process has not yet reported its claims. After this time, keyed
+ * requests run without the missing reports.
  */
 const MAX_WAIT_MILLISECONDS = 10_000;
 
-/** What gathering claims needs. */
+/** The parts of an entry that `LostClaims` uses. */
 export interface LostClaimsParameters {
   claims: claimStore.ClaimStore;
   epoch: backingServices.TableEpoch;
   /** All runners that this entry sends requests to. */
   runners: () => runnerLink.RunnerLink[];
-  /** Whether it is for this entry to write a claim again. */
+  /** Whether this entry is the one that writes a lost claim again. */
   isOwner: (key: string) => boolean;
+  /** Host of this entry. */
   host: string;
 }
 
 /**
- * Claims that the table may have lost with its last seconds. A caller that asks again
- * under its key would find none, and a request that may not be repeated would run twice.
- * Those who know are the entries that wrote them and the processes beside the runners.
+ * Finds the claims that the table may have lost. A table that is restored from
+ * a copy lacks what was written in the last seconds before. If a claim were
+ * lost, a caller that repeats its request would find none, and a request that
+ * may not be repeated would run twice. The entry that wrote a claim retains it
+ * for some seconds, and the upstream process that received the attempt can
+ * report it.
  */
 export class LostClaims {
+  /** Claims that this entry wrote, and when, by claim key. */
   readonly #written = new Map<
     string,
     { claim: claimStore.Claim; at: number }
   >();
+  /** Claims that the table may lack, by claim key. */
   readonly #found = new Map<string, Omit<claimStore.Claim, "nonce">>();
-  /** Epoch of the table whose losses were gathered. */
+  /** Epoch of the table for which all lost claims were gathered. */
   #gatheredEpoch: number | undefined;
   #gathering: Promise<void> | undefined;
-  /** When the epoch was first seen here. */
+  /** When this entry first saw the table's epoch of this number. */
   #epochFirstSeen = { number: -1, at: 0 };
 
   constructor(readonly parameters: LostClaimsParameters) {}
 
-  /** Keeps a claim that was written here. */
+  /** Retains a claim that this entry has written. */
   remember(key: string, claim: claimStore.Claim): void {
     const now = common.now();
     this.#written.delete(key);
@@ -62,8 +70,9 @@
   }
 
   /**
-   * Learns of all claims that the table's epoch may lack; false as long as somebody who
-   * may know has not answered.
+   * Gathers all claims that the table may have lost before its present epoch.
+   * Returns false while an upstream process that may know of some has not
+   * answered.
    */
   async gather(): Promise<boolean> {
     const { number } = this.parameters.epoch;
@@ -75,12 +84,15 @@
     return this.#gatheredEpoch === number;
   }
 
-  /** A claim that the table lost; `undefined` if none is known. */
+  /** The claim for a key among those gathered; `undefined` if there is none. */
   find(key: string): Omit<claimStore.Claim, "nonce"> | undefined {
     return this.#found.get(key);
   }
 
-  /** Writes again what was found and is not in the table; the number of claims. */
+  /**
+   * Writes the gathered claims that the table lacks and this entry owns.
+   * Returns how many it wrote.
+   */
   async restore(): Promise<number> {
     const { claims, isOwner } = this.parameters;
     let written = 0;
@@ -105,6 +117,7 @@
     for (const [key, { claim }] of this.#written) this.#found.set(key, claim);
     const allAnswered = answers.every((answered) => answered);
     const waited = common.now() - this.#epochFirstSeen.at;
+    // An entry that started after the restore asks only once.
     const mayProceed = !sawBegin || waited > MAX_WAIT_MILLISECONDS;
     if (allAnswered || mayProceed) this.#gatheredEpoch = number;
   }
--- a/packages/daemon/src/dispatch/outcome_recorder.ts
+++ b/packages/daemon/src/dispatch/outcome_recorder.ts
@@ -5,7 +5,11 @@
 import * as request from "./request.ts";
 import type * as runnerLink from "./runner_link.ts";
 
-/** Writes into claims how their attempts ended. */
+/**
+ * Records the outcomes of attempts in their claims, so that a repeated request
+ * with the same idempotency key can be answered, and turns each outcome into
+ * the result for the caller.
+ */
 export class OutcomeRecorder {
   constructor(
     readonly parameters: {
@@ -14,7 +18,10 @@
     },
   ) {}
 
-  /** Writes how a claimed attempt ended, and says it to the caller at once. */
+  /**
+   * Returns the caller's result at once and writes a final outcome to the claim
+   * in the background.
+   */
   recordOutcome(parameters: {
     key: string;
     stored: claimStore.StoredClaim;
@@ -28,8 +35,8 @@
       case request.AttemptOutcomeKind.Complete: {
         const answer = recording.answer;
         const state = claimStore.ClaimState.Settled;
-        // The answer need not wait for this write: until it is done, a repeated
-        // request collects the answer from the runner.
+        // The caller's answer does not wait for this write: until it is done, a
+        // repeated request collects the answer from the runner.
         this.parameters.lifeCycle.run("settle", async () => {
           const written = await this.changeClaim(key, stored, {
             state,
@@ -50,19 +57,23 @@
         return unfinishedResult(recording, outcome.reason);
       }
       case request.AttemptOutcomeKind.Unsettled:
-        // The claim stays: when the runner is heard again, it can still tell.
+        // The claim stays in the state `Claimed`: once the runner is reachable
+        // again, it can still report the outcome.
         return unfinishedResult(recording, outcome.reason);
       case request.AttemptOutcomeKind.Deadline:
-        return unfinishedResult(recording, "deadline passed");
+        return unfinishedResult(recording, "the deadline passed");
       case request.AttemptOutcomeKind.Quarantined:
-        return unfinishedResult(recording, "put in quarantine");
+        return unfinishedResult(recording, "the request was put in quarantine");
       case request.AttemptOutcomeKind.CallerGone:
       case request.AttemptOutcomeKind.NeverStarted:
         return { kind: request.ResultKind.CallerGone };
     }
   }
 
-  /** Changes a held claim; false if it is held no more or the store is away. */
+  /**
+   * Changes a claim. Returns false if another entry has changed it since it was
+   * read or written here, or if the table service does not answer.
+   */
   async changeClaim(
     key: string,
     stored: claimStore.StoredClaim,
@@ -78,12 +89,15 @@
   }
 }
 
-/** What is told when it is not known whether a request ran. */
+/** Result of a request that may have run or not. */
 export function mayHaveRun(reason: string): request.RequestResult {
   return { kind: request.ResultKind.MayHaveRun, reason };
 }
 
-/** What is told of an answer that broke off. */
+/**
+ * Result of a request whose answer will not be completed: `Incomplete` if the
+ * caller has received part of it, otherwise `MayHaveRun`.
+ */
 export function unfinishedResult(
   sink: answerSink.AnswerSink,
   reason: string,
--- a/packages/daemon/src/dispatch/recording_sink.ts
+++ b/packages/daemon/src/dispatch/recording_sink.ts
@@ -2,10 +2,13 @@
 import type * as answerSink from "./answer_sink.ts";
 import type * as claimStore from "./claim_store.ts";
 
-/** Bytes of an answer that a claim may hold. */
+/** Size of the largest answer body that is stored with a claim. */
 const MAX_STORED_ANSWER_BYTES = 64 * 1024;
 
-/** Passes an answer on and keeps it, if it is small, for the claim. */
+/**
+ * Passes an answer on to another sink and records it, so that it can be stored
+ * with the claim of its request if it is small enough.
+ */
 export class RecordingSink implements answerSink.AnswerSink {
   #head: wire.AnswerHead = { status: 200, headers: [] };
   #recorded: Buffer[] = [];
@@ -18,20 +21,20 @@
     return this.inner.delivered;
   }
 
-  /** The answer, or `undefined` if it is too large to keep. */
+  /** The recorded answer; `undefined` if it is too large to be stored. */
   get answer(): claimStore.StoredAnswer | undefined {
     if (this.#byteCount > MAX_STORED_ANSWER_BYTES) return undefined;
     const body = Buffer.concat(this.#recorded).toString("base64");
     return { head: this.#head, body };
   }
 
-  /** Keeps and passes on the head. */
+  /** Records the head and passes it on. */
   head(head: wire.AnswerHead): void {
     this.#head = head;
     this.inner.head(head);
   }
 
-  /** Keeps and passes on pieces. */
+  /** Records pieces and passes them on. */
   async pieces(pieces: wire.AnswerPiece[]): Promise<void> {
     for (const piece of pieces) {
       this.#byteCount += piece.length;
@@ -41,7 +44,7 @@
     await this.inner.pieces(pieces);
   }
 
-  /** Forgets what was kept. */
+  /** Drops the recorded pieces. */
   reset(): void {
     this.#recorded = [];
     this.#byteCount = 0;
