--- a/packages/daemon/src/dispatch/answer_sink.ts
+++ b/packages/daemon/src/dispatch/answer_sink.ts
@@ -1,13 +1,21 @@
 import type * as wire from "@geraniumkeel/wire";
 
-/** Where an answer goes as it arrives. */
+/**
+ * Receives the parts of an answer as they arrive and passes them to the caller.
+ */
 export interface AnswerSink {
   /** Whether the caller has received part of the answer. */
   readonly delivered: boolean;
-  /** Passes on status and headers of a plain service's answer. */
+  /** Passes on the status and headers of a plain service's answer. */
   head(head: wire.AnswerHead): void;
-  /** Passes on pieces; resolves at the caller's pace. */
+  /**
+   * Passes on pieces. Resolves once the caller is ready for more, so that a
+   * slow caller slows the sender.
+   */
   pieces(pieces: wire.AnswerPiece[]): Promise<void>;
-  /** Forgets an answer of which nothing was delivered. */
+  /**
+   * Drops what has arrived of an answer, before another attempt. Called only
+   * while the caller has received nothing.
+   */
   reset(): void;
 }
--- a/packages/daemon/src/dispatch/body_sender.ts
+++ b/packages/daemon/src/dispatch/body_sender.ts
@@ -1,20 +1,23 @@
 import * as wire from "@geraniumkeel/wire";
 
-/** Pieces of a body sent ahead of those wanted. */
+/** Most pieces sent at a time, counted from the one last requested. */
 const MAX_PIECES_AHEAD = 8;
 
 interface Piece {
   bytes: Uint8Array;
+  /** Whether the body goes on after this piece, ends, or breaks off. */
   ends: wire.BodyEnd;
 }
 
 /**
- * Sends the rest of a request body at the pace of the service. Pieces are kept
- * until the runner has them, so that they can go again over a new link.
+ * Sends the rest of a large request body to an upstream process, which asks for
+ * each piece when its service has consumed the one before. The sender retains
+ * pieces until they have arrived, so that it can send them again over a new
+ * link.
  */
 export class BodySender {
   #pieces: Piece[] = [];
-  /** Number of the first piece kept. */
+  /** Number, from 0, of the first piece that is still retained. */
   #firstRetainedIndex = 0;
   #requestedIndex = 0;
   #isReading = false;
@@ -24,14 +27,18 @@
 
   constructor(readonly source: AsyncIterator<Uint8Array>) {}
 
-  /** Begins to send for an attempt. */
+  /** Begins to send the body of an attempt. */
   start(identifier: string, send: (message: wire.Message) => void): void {
     this.#identifier = identifier;
     this.#send = send;
     void this.#readAhead();
   }
 
-  /** The runner has all pieces before `index`, and is ready for it. */
+  /**
+   * Drops the pieces before `index`, which have all arrived, and sends those
+   * from it on, also those that were sent before: they may have been lost with
+   * a link. The receiver ignores duplicates.
+   */
   sendFrom(index: number): void {
     const arrived = index - this.#firstRetainedIndex;
     if (arrived > 0) this.#pieces.splice(0, arrived);
--- a/packages/daemon/src/dispatch/dispatcher.ts
+++ b/packages/daemon/src/dispatch/dispatcher.ts
@@ -9,38 +9,43 @@
 import type * as retryBudget from "./retry_budget.ts";
 import type * as runnerObtainer from "./runner_obtainer.ts";
 
-/** Attempts at one request at most. */
+/** Failed attempts after which a request is not tried again. */
 const MAX_FAILED_ATTEMPTS = 4;
 
-/** What dispatching needs of the rest of the entry. */
+/** The parts of an entry that its dispatcher uses. */
 export interface DispatcherParameters {
   router: router.Router;
   queueOf: (
     service: string,
   ) => serviceQueue.ServiceQueue<runnerObtainer.ReservedRunner>;
   budgetOf: (service: string) => retryBudget.RetryBudget;
+  /** Runs the requests that have an idempotency key and may not be repeated. */
   keyed: keyedRequests.KeyedRequests;
   quarantine: quarantine.Quarantine;
   logger: common.Logger;
   metrics: common.Metrics;
   history: common.HistoryRecorder;
+  /** Host of this entry. */
   host: string;
-  /** Jittered time after which a refused caller should come back. */
+  /** Jittered time after which a refused caller should try again. */
   retryAfterMilliseconds: () => number;
 }
 
-/** Runs accepted requests: queue, runner, attempts, result. */
+/**
+ * Runs accepted requests: waits in the service's queue, chooses a runner, sends
+ * attempts until one gives an outcome, and returns the result.
+ */
 export class Dispatcher implements runnerObtainer.RunnerObtainer {
   #running = 0;
 
   constructor(readonly parameters: DispatcherParameters) {}
 
-  /** Requests accepted and not answered. */
+  /** Number of requests that were accepted and have no result yet. */
   get running(): number {
     return this.#running;
   }
 
-  /** Runs a request to its final result. */
+  /** Runs a request and returns its final result. */
   async run(
     accepted: request.AcceptedRequest,
     sink: answerSink.AnswerSink,
@@ -60,7 +65,10 @@
     }
   }
 
-  /** Waits in the queue for a runner that has not refused the request yet. */
+  /**
+   * Waits in the queue for a runner with free capacity that is not excluded. A
+   * request that `wasAdmitted` before enters even a full queue.
+   */
   async obtainRunner(
     accepted: request.AcceptedRequest,
     excluded: ReadonlySet<string>,
@@ -88,8 +96,8 @@
       deadline: accepted.deadline,
       signal: accepted.signal,
       wasAdmitted,
-      take: (roomShare) => {
-        const limit = Math.max(1, Math.floor(runnerConcurrency * roomShare));
+      take: (capacityShare) => {
+        const limit = Math.max(1, Math.floor(runnerConcurrency * capacityShare));
         const runner = router.choose({
           service,
           runnerConcurrency: limit,
@@ -137,8 +145,9 @@
   }
 
   /**
-   * Whether another attempt may be made after one that never started, or one
-   * whose work may be repeated. `failures` counts those that failed so far.
+   * Decides whether a request gets another attempt after one that never started
+   * or may be repeated, and charges the retry budget for it. `failures` counts
+   * the failed attempts so far, this one included.
    */
   permitRetry(
     accepted: request.AcceptedRequest,
@@ -146,11 +155,11 @@
     cause: request.NotStartedCause,
   ): boolean {
     if (failures >= MAX_FAILED_ATTEMPTS) return false;
-    // What was streamed of the body is gone; there is nothing to send again.
+    // Pieces of a streamed body are not retained, so they cannot be sent again.
     if (accepted.body) return false;
     const { service } = accepted;
-    // Being turned away by a leaving runner cost nothing and is planned; paying
-    // for it would refuse requests just because a host is taken out.
+    // A refusal by a leaving runner is planned and costs no work. Charging for
+    // it would refuse requests only because an operator removes a host.
     const isCharged = cause === request.NotStartedCause.Failed;
     if (isCharged && !this.parameters.budgetOf(service).spend()) return false;
     const { logger, metrics } = this.parameters;
@@ -160,7 +169,10 @@
     return true;
   }
 
-  /** A request that was not run, with the time to come back. */
+  /**
+   * Result of a request that was not run. The caller should try again after the
+   * jittered time or `waitMilliseconds`, whichever is longer.
+   */
   notRun(
     reason: request.NotRunReason,
     waitMilliseconds = 0,
@@ -203,11 +215,11 @@
         case request.AttemptOutcomeKind.CallerGone:
           return { kind: request.ResultKind.CallerGone };
         case request.AttemptOutcomeKind.Deadline:
-          return unfinishedResult(sink, "deadline passed");
+          return unfinishedResult(sink, "the deadline passed");
         case request.AttemptOutcomeKind.Quarantined:
-          return unfinishedResult(sink, "put in quarantine");
+          return unfinishedResult(sink, "the request was put in quarantine");
         case request.AttemptOutcomeKind.NeverStarted:
-          // It goes back to the queue; its deadline ends that.
+          // The request goes back to the queue, at most until its deadline.
           if (outcome.cause === request.NotStartedCause.Full) continue;
           if (this.permitRetry(accepted, ++failures, outcome.cause)) break;
           return withEarlierAttempts(
@@ -218,8 +230,9 @@
         case request.AttemptOutcomeKind.Unsettled: {
           const { reason } = outcome;
           mayHaveRunReason = reason;
-          // Pieces of two samplings never make one answer: once the caller has
-          // seen part of it, there is no second try.
+          // Another attempt samples another text, and pieces of two texts make
+          // no correct answer. Once the caller has received a piece, there is
+          // no other attempt.
           const mayRepeat = accepted.repeatable && !sink.delivered;
           const { Failed } = request.NotStartedCause;
           if (mayRepeat && this.permitRetry(accepted, ++failures, Failed))
@@ -238,7 +251,7 @@
     number: number,
     sink: answerSink.AnswerSink,
   ): Promise<request.AttemptOutcome> {
-    // Released here: nothing else runs before the dispatch counts instead.
+    // From here on the dispatch itself counts. No other code runs in between.
     reservation.release();
     const identifier = `${accepted.identifier}/${number}`;
     const attempt = runner.newAttempt(identifier);
@@ -268,8 +281,9 @@
 }
 
 /**
- * "Not run" must be true of the whole request: if an earlier attempt may have
- * run, a later one that never started does not undo that.
+ * Result of a request in view of its earlier attempts. "Not run" must be true
+ * of all attempts: if an earlier one may have run, the result is `MayHaveRun`,
+ * even if the last one never started.
  */
 function withEarlierAttempts(
   result: request.RequestResult,
@@ -280,7 +294,10 @@
   return { kind: request.ResultKind.MayHaveRun, reason: mayHaveRunReason };
 }
 
-/** What the caller is told of an answer that will not be completed. */
+/**
+ * Result of a request whose answer will not be completed: `Incomplete` if the
+ * caller has received part of it, otherwise `MayHaveRun`.
+ */
 function unfinishedResult(
   sink: answerSink.AnswerSink,
   reason: string,
--- a/packages/daemon/src/dispatch/follow_attempt.ts
+++ b/packages/daemon/src/dispatch/follow_attempt.ts
@@ -7,10 +7,10 @@
 import * as request from "./request.ts";
 import type * as runnerLink from "./runner_link.ts";
 
-/** Engines do not tell the version of their software. */
+/** Engines do not report the version of their software. */
 const UNKNOWN_VERSION = "";
 
-/** An attempt that is under way at a runner. */
+/** An attempt that was sent to a runner, and what following it needs. */
 export interface FollowedAttempt {
   runner: runnerLink.RunnerLink;
   outgoing: outgoingAttempt.OutgoingAttempt;
@@ -20,8 +20,9 @@
 }
 
 /**
- * Follows one attempt to its outcome and passes its answer on. Only a word of
- * the runner settles an attempt; silence settles nothing.
+ * Follows one attempt to its outcome and passes its answer on to the caller.
+ * Only a message of the runner settles an attempt. A lost link settles nothing,
+ * as the attempt may still be running.
  */
 export async function followAttempt(
   parameters: FollowedAttempt,
@@ -33,7 +34,8 @@
   accepted.signal.addEventListener("abort", onCallerGone, { once: true });
   if (accepted.signal.aborted) onCallerGone();
   const startedAt = common.now();
-  // What may not be repeated runs to its end, and so does what already answers.
+  // The quarantine stops only a repeatable request of which the caller has not
+  // received anything. All others run on until they finish.
   accepted.watched.onStop = () => {
     if (!accepted.repeatable || sink.delivered) return;
     events.push({ kind: AttemptEventKind.Quarantined });
@@ -46,9 +48,12 @@
     const outcome = await awaitOutcome(parameters);
     reportToQuarantine(parameters, outcome, startedAt);
     const stopped = hasWorkStopped(outcome);
-    // Giving up does not end the work: stop it where that is allowed. What may
-    // not be repeated runs to its end, as stopping it half-way helps nobody.
+    // The runner goes on after this entry gives up, so a repeatable request is
+    // cancelled there. A non-repeatable request runs on until it finishes: it
+    // would be of no use half done.
     if (!stopped && accepted.repeatable) runner.cancel(attempt);
+    // The runner retains the answer of a keyed request until its claim is
+    // written.
     const isKeyed = accepted.idempotencyKey !== undefined;
     runner.close(attempt, stopped && !isKeyed);
     return outcome;
@@ -59,7 +64,10 @@
   }
 }
 
-/** What an outcome says of the request and of its runner. */
+/**
+ * Reports to the quarantine that a request was answered, or that a runner
+ * crashed while it ran the request.
+ */
 function reportToQuarantine(
   { runner, accepted, quarantine }: FollowedAttempt,
   outcome: request.AttemptOutcome,
@@ -91,7 +99,7 @@
   }
 }
 
-/** Whether nothing runs any more after this outcome. */
+/** Whether the runner has certainly stopped work on an attempt. */
 function hasWorkStopped(outcome: request.AttemptOutcome): boolean {
   switch (outcome.kind) {
     case request.AttemptOutcomeKind.Complete:
@@ -106,6 +114,7 @@
   }
 }
 
+/** Handles the events of an attempt until one of them gives its outcome. */
 async function awaitOutcome(
   parameters: FollowedAttempt,
 ): Promise<request.AttemptOutcome> {
@@ -125,7 +134,7 @@
       case AttemptEventKind.Pieces:
         await sink.pieces(event.pieces);
         passedOn += event.pieces.length;
-        // Half a window is acknowledged at a time, to save messages.
+        // Acknowledges at every half window, to save messages.
         if (passedOn - acknowledged >= accepted.window / 2) {
           acknowledged = passedOn;
           runner.acknowledge(identifier, acknowledged);
@@ -138,13 +147,13 @@
       case AttemptEventKind.UpstreamReplaced:
         return {
           kind: AttemptOutcomeKind.Unsettled,
-          reason: "upstream process replaced",
+          reason: "the upstream process was replaced",
           endedLife: outgoing.attempt.agentIncarnation,
         };
       case AttemptEventKind.Unreachable:
         return {
           kind: AttemptOutcomeKind.Unsettled,
-          reason: "upstream process unreachable",
+          reason: "the upstream process is unreachable",
           endedLife: "",
         };
       case AttemptEventKind.Deadline:
@@ -152,18 +161,21 @@
       case AttemptEventKind.Quarantined:
         return { kind: AttemptOutcomeKind.Quarantined };
       case AttemptEventKind.CallerGone:
-        // The answer of a non-repeatable request is still waited for: its claim
-        // must say how it ended.
+        // A keyed request that may not be repeated is followed further, because
+        // its outcome must go into its claim.
         if (accepted.repeatable || accepted.idempotencyKey === undefined) {
           return { kind: AttemptOutcomeKind.CallerGone };
         }
         break;
     }
   }
-  return unsettled("entry stopping");
+  return unsettled("this entry is stopping");
 }
 
-/** A refusal is settled; only one that cost work is charged as a retry. */
+/**
+ * Outcome of an attempt that the runner refused: it never started. The cause
+ * decides whether the next attempt is charged as a retry.
+ */
 function refusedOutcome(reason: wire.RefusalReason): request.AttemptOutcome {
   const kind = request.AttemptOutcomeKind.NeverStarted;
   switch (reason) {
@@ -198,12 +210,13 @@
     case wire.EndKind.Cancelled:
       return {
         kind: AttemptOutcomeKind.Broken,
-        reason: "cancelled",
+        reason: "the attempt was cancelled",
         endedLife: "",
       };
   }
 }
 
+/** Outcome of an attempt whose state the runner reported without an answer. */
 function outcomeOfState(state: wire.AttemptState): request.AttemptOutcome {
   const { AttemptOutcomeKind } = request;
   switch (state) {
@@ -215,7 +228,7 @@
     case wire.AttemptState.Running:
     case wire.AttemptState.Finished:
     case wire.AttemptState.Forgotten:
-      return unsettled("forgotten");
+      return unsettled("the runner no longer knows the attempt");
   }
 }
 
--- a/packages/daemon/src/dispatch/outgoing_attempt.ts
+++ b/packages/daemon/src/dispatch/outgoing_attempt.ts
@@ -2,24 +2,27 @@
 import type * as bodySender from "./body_sender.ts";
 import * as wire from "@geraniumkeel/wire";
 
-/** Kinds of thing that happen to an attempt, as its request sees them. */
+/** Kinds of events that affect an attempt. */
 export enum AttemptEventKind {
   Refused = "refused",
   Head = "head",
   Pieces = "pieces",
   End = "end",
+  /** The upstream process reported what it knows of the attempt. */
   Settled = "settled",
-  /** The upstream process was replaced: nobody can tell any more. */
+  /**
+   * The upstream process was replaced; the new one does not know the attempt.
+   */
   UpstreamReplaced = "lost",
-  /** No link for so long that it is given up. */
+  /** There was no link to the runner for so long that the entry gives up. */
   Unreachable = "unreachable",
   Deadline = "deadline",
   CallerGone = "caller-gone",
-  /** It was put in quarantine. */
+  /** The quarantine stopped the request. */
   Quarantined = "held",
 }
 
-/** One thing that happened to an attempt. */
+/** An event that affects an attempt. */
 export type AttemptEvent =
   | { kind: AttemptEventKind.Refused; reason: wire.RefusalReason }
   | { kind: AttemptEventKind.Head; head: wire.AnswerHead }
@@ -32,20 +35,26 @@
   | { kind: AttemptEventKind.CallerGone }
   | { kind: AttemptEventKind.Quarantined };
 
-/** An attempt as the entry that made it sees it. */
+/**
+ * An attempt on the side of the entry that sent it or collects its answer. It
+ * turns the runner's messages into events, each part of the answer once and in
+ * order, even if a new link repeats some.
+ */
 export class OutgoingAttempt {
   readonly events = new common.Channel<AttemptEvent>();
-  /** Offset of the next piece expected. */
+  /** Number of the next expected piece of the answer, from 0. */
   nextOffset = 0;
   #headReceived = false;
 
   constructor(
     readonly attempt: wire.Attempt,
+    /** Pieces that the runner may send ahead of acknowledgements. */
     readonly window: number,
+    /** Rest of the request body, if it is sent in pieces. */
     readonly body: bodySender.BodySender | undefined = undefined,
   ) {}
 
-  /** Takes in the head of the answer; a repeated one after a resume is dropped. */
+  /** Accepts the head of the answer; ignores one repeated after a resume. */
   receiveHead(head: wire.AnswerHead): void {
     if (this.#headReceived) return;
     this.#headReceived = true;
@@ -53,22 +62,28 @@
   }
 
   /**
-   * Takes in pieces at an offset. After a resume some may come twice: what was
-   * taken before is cut off. A gap cannot be mended here and breaks the answer.
+   * Accepts pieces from an offset on. After a resume the runner may repeat
+   * some; those are dropped. Missing pieces cannot be recovered here, so they
+   * break the answer off.
    */
   receivePieces(offset: number, pieces: wire.AnswerPiece[]): void {
-    if (offset > this.nextOffset) return this.#breakOff("pieces missing");
+    if (offset > this.nextOffset)
+      return this.#breakOff("pieces of the answer are missing");
     const fresh = pieces.slice(this.nextOffset - offset);
     if (fresh.length === 0) return;
     this.nextOffset += fresh.length;
     this.events.push({ kind: AttemptEventKind.Pieces, pieces: fresh });
   }
 
-  /** Takes in the end; one that comes before all pieces breaks the answer. */
+  /**
+   * Accepts the end of the answer; one before all pieces breaks the answer off.
+   */
   receiveEnd(offset: number, end: wire.AttemptEnd): void {
     const complete = end.kind === wire.EndKind.Complete;
     if (complete && offset !== this.nextOffset) {
-      return this.#breakOff("end before all pieces");
+      return this.#breakOff(
+        "the end of the answer arrived before all its pieces",
+      );
     }
     this.events.push({ kind: AttemptEventKind.End, end });
   }
--- a/packages/daemon/src/dispatch/request.ts
+++ b/packages/daemon/src/dispatch/request.ts
@@ -7,39 +7,50 @@
 export interface AcceptedRequest {
   identifier: string;
   account: string;
+  /** Weight of the account in the service's queue. */
   weight: number;
   service: string;
   work: wire.Work;
   repeatable: boolean;
   /** Key under which the caller may repeat a non-repeatable request. */
   idempotencyKey: string | undefined;
-  /** Deadline by this process's clock. */
+  /** Deadline by this process's monotonic clock, in milliseconds. */
   deadline: number;
-  /** Aborts when the caller is gone. */
+  /** Aborts when the caller disconnects. */
   signal: AbortSignal;
+  /** Urgency by RFC 9218: 0 is most urgent, 7 least. */
   urgency: number;
   promptTokens: number;
   expectedTokens: number;
+  /**
+   * Chained hashes of the prompt's prefix blocks, for routing by cached prefix.
+   */
   prefixBlocks: string[];
+  /** Attempts that one runner of the service may have at once. */
   runnerConcurrency: number;
-  /** Pieces that may be under way to the caller. */
+  /**
+   * Pieces of the answer that the runner may send ahead of acknowledgements.
+   */
   window: number;
-  /** Rest of a large body; it can be sent only once. */
+  /** Rest of a large body; it can be sent to one attempt only. */
   body?: bodySender.BodySender;
+  /** Handle with which the quarantine identifies and stops the request. */
   watched: stoppableRequest.StoppableRequest;
 }
 
-/** How a request ended, as far as the caller must be told. */
+/** Kinds of results of a request, as the caller must distinguish them. */
 export enum ResultKind {
   Complete = "complete",
   NotRun = "not-run",
+  /** The request may have run; the caller has received nothing of an answer. */
   MayHaveRun = "may-have-run",
-  /** The answer broke off. */
+  /** The answer broke off after the caller had received part of it. */
   Incomplete = "incomplete",
+  /** The caller disconnected. */
   CallerGone = "caller-gone",
-  /** An earlier request under the same key ran; its answer is not kept. */
+  /** An earlier request with the same key ran; its answer is not stored. */
   RanBefore = "ran-before",
-  /** The key was used before for another request. */
+  /** The key was used before for a different request. */
   KeyReused = "key-reused",
 }
 
@@ -51,11 +62,11 @@
   RetryBudget = "retry-budget",
   StoreUnavailable = "store-unavailable",
   EngineUnavailable = "engine-unavailable",
-  /** Runners ended while they ran it. */
+  /** Runners crashed while they ran the request. */
   Quarantined = "quarantined",
 }
 
-/** How a request ended. */
+/** Final result of a request. */
 export type RequestResult =
   | {
       kind: ResultKind.Complete;
@@ -74,22 +85,24 @@
   | { kind: ResultKind.RanBefore }
   | { kind: ResultKind.KeyReused };
 
-/** How one attempt ended. */
+/** Kinds of outcomes of an attempt. */
 export enum AttemptOutcomeKind {
   Complete = "complete",
-  /** It never started and never will. */
+  /** The attempt never started and never will. */
   NeverStarted = "never-started",
-  /** It started and broke off. */
+  /** The attempt started and broke off. */
   Broken = "broken",
-  /** Nobody can tell whether it ran. */
+  /** It is not known whether the attempt ran. */
   Unsettled = "unsettled",
+  /** The request's deadline passed while the attempt ran. */
   Deadline = "deadline",
+  /** The caller disconnected while the attempt ran. */
   CallerGone = "caller-gone",
-  /** It was put in quarantine while it was under way. */
+  /** The request was put in quarantine while the attempt ran. */
   Quarantined = "held",
 }
 
-/** How one attempt ended. */
+/** Outcome of an attempt. */
 export type AttemptOutcome =
   | {
       kind: AttemptOutcomeKind.Complete;
@@ -100,7 +113,9 @@
   | {
       kind: AttemptOutcomeKind.Broken | AttemptOutcomeKind.Unsettled;
       reason: string;
-      /** Life of the runner that ended with it; empty if none did. */
+      /**
+       * Incarnation of the runner that crashed during it; empty if none did.
+       */
       endedLife: string;
     }
   | { kind: AttemptOutcomeKind.Deadline }
@@ -109,15 +124,15 @@
 
 /** Why an attempt never started. */
 export enum NotStartedCause {
-  /** Its runner or engine failed: another try is a retry and is paid for. */
+  /** Its runner or engine failed. Another attempt is charged as a retry. */
   Failed = "failed",
-  /** Its runner is leaving, as planned: another try is free. */
+  /** Its runner is leaving, as planned. Another attempt is not charged. */
   Leaving = "leaving",
-  /** Its runner has as much as it may: the request goes on waiting. */
+  /** Its runner has as many attempts as it may. The request waits further. */
   Full = "full",
 }
 
-/** An attempt with the runner it was made at. */
+/** An attempt with the runner that it was sent to. */
 export interface MadeAttempt {
   runner: runnerLink.RunnerLink;
   attempt: wire.Attempt;
--- a/packages/daemon/src/dispatch/runner_obtainer.ts
+++ b/packages/daemon/src/dispatch/runner_obtainer.ts
@@ -2,20 +2,23 @@
 import type * as request from "./request.ts";
 import type * as runnerLink from "./runner_link.ts";
 
-/** A runner with room taken; the reservation is to be released. */
+/** A chosen runner with reserved capacity, which the receiver must release. */
 export interface ReservedRunner {
   runner: runnerLink.RunnerLink;
   reservation: pendingDispatches.Reservation;
-  /** Attempts that the runner may have at once, this one included. */
+  /** Attempts that the runner may have at once, the new one included. */
   limit: number;
 }
 
-/** Either a runner, or the end of the request. */
+/** A runner for the request, or its final result if there is none. */
 export type ObtainedRunner =
   | ({ kind: "runner" } & ReservedRunner)
   | { kind: "result"; result: request.RequestResult };
 
-/** Finds runners for requests, as the conduct of keyed requests needs it. */
+/**
+ * The part of the dispatcher that keyed requests use: it finds runners and
+ * decides on retries.
+ */
 export interface RunnerObtainer {
   obtainRunner(
     accepted: request.AcceptedRequest,
