--- a/packages/daemon/src/dispatch/open_questions.ts
+++ b/packages/daemon/src/dispatch/open_questions.ts
@@ -1,17 +1,26 @@
 import * as common from "@geraniumkeel/common";
 import type * as wire from "@geraniumkeel/wire";
 
-/** Questions asked over a link and not answered yet, by their numbers. */
+/**
+ * Messages sent over a link that expect an answer. Each such question has a
+ * number, and the answer repeats that number.
+ */
 export class OpenQuestions {
+  /**
+   * Resolves the promise of each question that has no answer yet, by number.
+   */
   readonly #open = new Map<number, (answer: wire.Message) => void>();
   #lastNumber = 0;
 
-  /** Questions without an answer. */
+  /** Number of questions that have no answer yet. */
   get count(): number {
     return this.#open.size;
   }
 
-  /** Sends a question and waits for its answer; `undefined` if none comes. */
+  /**
+   * Sends a question and returns its answer; `undefined` if none arrives within
+   * the timeout.
+   */
   async ask(parameters: {
     send: (message: wire.Message) => void;
     build: (question: number) => wire.Message;
@@ -28,7 +37,7 @@
     return answered;
   }
 
-  /** Takes in an answer; one that comes too late belongs to no question. */
+  /** Accepts the answer to a question; ignores it if it arrives too late. */
   answer(question: number, message: wire.Message): void {
     this.#open.get(question)?.(message);
   }
--- a/packages/daemon/src/dispatch/pending_dispatches.ts
+++ b/packages/daemon/src/dispatch/pending_dispatches.ts
@@ -1,27 +1,32 @@
-/** Room that was taken at a runner for a request about to be dispatched. */
+/**
+ * Capacity reserved at a runner for a request that is about to be dispatched.
+ */
 export interface Reservation {
-  /** Gives the room back; once dispatched, the dispatch counts in its place. */
+  /** Frees the capacity. After the dispatch, the dispatch itself counts. */
   release(): void;
 }
 
 /**
- * What a runner will have to do that its last load report does not include:
- * own dispatches since, and requests that have chosen it and are about to be
- * dispatched. Without the former an entry would send burst after burst to a
- * runner that looked idle in an older report. Without the latter all requests
- * of a queue chose on one view: with room for 4 a runner was sent 24.
+ * Work of this entry that a runner's last load report does not include:
+ * requests dispatched since, and requests that have chosen the runner and are
+ * about to be dispatched (reservations). Without the dispatches, an entry would
+ * send one burst after another to a runner that looked idle in an older report.
+ * Without the reservations, all requests of a queue would choose by the same
+ * load: a runner with capacity for 4 received 24.
  */
 export class PendingDispatches {
   #pending: { number: number; promptTokens: number }[] = [];
+  /** Number of dispatches over the present link. */
   #sentCount = 0;
+  /** Prompt tokens of each reservation. */
   readonly #reserved = new Map<Reservation, number>();
 
-  /** Dispatches not reported yet, and reservations. */
+  /** Number of dispatches that no report includes yet, and of reservations. */
   get count(): number {
     return this.#pending.length + this.#reserved.size;
   }
 
-  /** Their prompt tokens. */
+  /** Prompt tokens of those dispatches and reservations. */
   get promptTokens(): number {
     let tokens = 0;
     for (const one of this.#pending) tokens += one.promptTokens;
@@ -29,7 +34,7 @@
     return tokens;
   }
 
-  /** Takes room for a request that has chosen this runner. */
+  /** Reserves capacity for a request that has chosen this runner. */
   reserve(promptTokens: number): Reservation {
     const reservation = {
       release: () => void this.#reserved.delete(reservation),
@@ -38,18 +43,23 @@
     return reservation;
   }
 
-  /** Notes a dispatch. */
+  /** Adds a dispatch. */
   add(promptTokens: number): void {
     this.#sentCount++;
     this.#pending.push({ number: this.#sentCount, promptTokens });
   }
 
-  /** A report includes the first `count` dispatches over this link. */
+  /**
+   * Drops the first `count` dispatches over this link: a report includes them.
+   */
   removeReported(count: number): void {
     this.#pending = this.#pending.filter(({ number }) => number > count);
   }
 
-  /** A new link counts its dispatches from nothing. */
+  /**
+   * Drops all dispatches and counts from 0 again, as the runner does on a new
+   * link. Reservations stay.
+   */
   reset(): void {
     this.#pending = [];
     this.#sentCount = 0;
--- a/packages/daemon/src/dispatch/retry_budget.ts
+++ b/packages/daemon/src/dispatch/retry_budget.ts
@@ -1,13 +1,17 @@
-/** How many repeats a budget pays for. */
+/** How many retries a budget allows. */
 export interface RetryBudgetParameters {
-  /** Repeats earned by each first attempt. */
+  /** Retries that each first attempt adds to the budget. */
   earnedPerRequest: number;
-  /** Repeats at hand at most, and at first for a service with little traffic. */
+  /** Most retries that the budget accumulates. */
   maxBalance: number;
+  /** Retries available at the start, for services with little traffic. */
   initialBalance: number;
 }
 
-/** A tenth of the traffic, with a little at hand for services with few calls. */
+/**
+ * Allows retries for a tenth of the traffic, and a few for services with few
+ * calls.
+ */
 const DEFAULT_PARAMETERS: RetryBudgetParameters = {
   earnedPerRequest: 0.1,
   maxBalance: 50,
@@ -15,8 +19,8 @@
 };
 
 /**
- * Pays for attempts after the first out of a share of the traffic: when much
- * fails at once, unlimited retries would multiply the load that made it fail.
+ * Limits retries to a share of the traffic. When many requests fail at once,
+ * unlimited retries would multiply the load that made them fail.
  */
 export class RetryBudget {
   #balance: number;
@@ -25,18 +29,20 @@
     this.#balance = parameters.initialBalance;
   }
 
-  /** Retries that could be paid now. */
+  /** Number of retries that the budget allows now; may be a fraction. */
   get balance(): number {
     return this.#balance;
   }
 
-  /** A first attempt was made. */
+  /** Adds to the budget for a first attempt. */
   earn(): void {
     const next = this.#balance + this.parameters.earnedPerRequest;
     this.#balance = Math.min(next, this.parameters.maxBalance);
   }
 
-  /** Pays for one retry; false when the budget is spent. */
+  /**
+   * Takes one retry from the budget; returns false if less than one is left.
+   */
   spend(): boolean {
     if (this.#balance < 1) return false;
     this.#balance -= 1;
--- a/packages/daemon/src/dispatch/runner_directory.ts
+++ b/packages/daemon/src/dispatch/runner_directory.ts
@@ -4,19 +4,26 @@
 import * as runnerLink from "./runner_link.ts";
 import * as subscription from "./subscription.ts";
 
-/** A runner with what ends its task. */
+/** A runner that this entry links to. */
 interface SubscribedRunner {
   link: runnerLink.RunnerLink;
+  /** Stops the task that maintains the link. */
   stop: AbortController;
-  /** When the list first lacked it, by this process's clock. */
+  /**
+   * When the host list first lacked the runner, by this process's clock;
+   * `undefined` while the list has it.
+   */
   unlistedAt: number | undefined;
 }
 
 /**
- * The runners this entry subscribes to. A runner that the list calls leaving,
- * or no longer names, gets no new work, and is forgotten when nothing is open.
+ * The runners that this entry subscribes to: it links to them and may send them
+ * requests. A runner that the host list calls leaving or no longer contains
+ * gets no new work. The directory removes a runner that the list has lacked for
+ * some time, once it has no open attempts.
  */
 export class RunnerDirectory {
+  /** Announces that the directory has applied the host list. */
   readonly changed = new common.ChangeNotice();
   readonly #runners = new Map<string, SubscribedRunner>();
 
@@ -38,17 +45,19 @@
     return this.all.filter((runner) => runner.host.service === service);
   }
 
-  /** Runners that said they are of a group. */
+  /** Runners that reported to be ranks of a group. */
   ofGroup(group: string): runnerLink.RunnerLink[] {
     return this.all.filter((runner) => runner.hello?.group === group);
   }
 
-  /** Runner on a host. */
+  /**
+   * The runner on a host; `undefined` if this entry does not subscribe to it.
+   */
   get(host: string): runnerLink.RunnerLink | undefined {
     return this.#runners.get(host)?.link;
   }
 
-  /** Follows the host list until the signal aborts. */
+  /** Applies each change of the host list until the signal aborts. */
   async run(signal: AbortSignal): Promise<void> {
     const { hosts } = this.parameters;
     while (!signal.aborted) {
@@ -86,9 +95,12 @@
   }
 
   /**
-   * The list lags, and a read may be older than the last one. A rank dropped for
-   * that, in the middle of a switch, would have its whole group hold until the
-   * list names it again; its link tells better whether it is there.
+   * Whether the host list may soon contain a runner again that it lacks now.
+   * The list lags, and a read may return an older list than the one before. If
+   * the directory removed a rank for that reason during a switch of the expert
+   * map, all ranks of its group would hold until the list contains the rank
+   * again. An open link is a better sign that the runner is still there, so a
+   * linked runner stays until the list has lacked it for the time `goneAfter`.
    */
   #mayBeListedAgain(runner: SubscribedRunner): boolean {
     runner.unlistedAt ??= common.now();
--- a/packages/daemon/src/dispatch/runner_link.ts
+++ b/packages/daemon/src/dispatch/runner_link.ts
@@ -9,64 +9,82 @@
 import * as outgoingAttempt from "./outgoing_attempt.ts";
 import * as pendingDispatches from "./pending_dispatches.ts";
 
+/** Pauses between tries to connect, the first one and the longest. */
 const INITIAL_PAUSE_MILLISECONDS = 50;
 const MAX_PAUSE_MILLISECONDS = 1_000;
 
-/** What an entry's links to runners share. */
+/** Parameters that all runner links of an entry share. */
 export interface RunnerLinkParameters {
   settings: settingsModule.EntrySettings;
+  /** Incarnation of this entry. */
   incarnation: string;
   logger: common.Logger;
   metrics: common.Metrics;
   random: common.Random;
   certificateAuthority: string | undefined;
+  /** Revision of the configuration that this entry uses. */
   revision: () => number;
+  /** Called after each load report. */
   onLoad: (runner: RunnerLink) => void;
+  /** Called when prefix blocks entered or left the runner's cache. */
   onCacheEvents: (runner: RunnerLink, changes: wire.CacheChange[]) => void;
-  /** Called when the runner may take work again, or more of it. */
+  /** Called when the runner is linked and may therefore accept work. */
   onCapacity: () => void;
 }
 
-/** An attempt to be sent to the runner. */
+/** What the entry sends to the runner with an attempt. */
 export interface DispatchParameters {
   identifier: string;
   account: string;
   service: string;
   repeatable: boolean;
+  /**
+   * Pieces of the answer that the runner may send ahead of acknowledgements.
+   */
   window: number;
   work: wire.Work;
   promptTokens: number;
   /** Attempts that the runner may have at once. */
   limit: number;
-  /** The claim that names it, for requests under an idempotency key. */
+  /** The claim that names the attempt, for requests with an idempotency key. */
   claim?: wire.AttemptClaim;
-  /** Rest of the request body, if the work says that it follows. */
+  /** Rest of the request body, if `work` says that it follows in pieces. */
   body?: bodySender.BodySender;
 }
 
 /**
- * An entry's side of one runner: the link, the load as last heard, and the
- * attempts that are not settled. They outlive any one connection.
+ * An entry's state for one runner: the link to its upstream process, its last
+ * reported load, and the open attempts. Open attempts outlive a lost
+ * connection: they resume on the next one, unless the upstream process was
+ * replaced or stays unreachable for the time `settleAfter`.
  */
 export class RunnerLink {
+  /** Open attempts by identifier. */
   readonly attempts = new Map<string, outgoingAttempt.OutgoingAttempt>();
+  /** Load as last reported. */
   load = wire.idleLoad();
+  /** The upstream process's first message on the last link. */
   hello: wire.Hello | undefined;
-  /** The host list calls it leaving, or names it no more. */
+  /**
+   * Whether the host list calls the runner leaving or no longer contains it.
+   */
   listedLeaving = false;
-  /** It said so itself, or an operator did; holds for its incarnation. */
+  /**
+   * Whether the upstream process reported that it is leaving, by itself or
+   * because an operator drains it. Applies to its present incarnation only.
+   */
   #announcedLeaving = false;
-  /** When this rank's engine was last seen to step, or had nothing to do. */
+  /** When the rank's engine last made an iteration or had nothing to do. */
   progressAt = common.now();
-  /** It turned a dispatch away since its last load report. */
   #isFull = false;
-  /** Own dispatches that the load does not yet include. */
+  /** Work of this entry that the last load report does not include. */
   readonly #pending = new pendingDispatches.PendingDispatches();
   #link: wire.Link | undefined;
+  /** Number of links opened to this runner so far. */
   #linkNumber = 0;
-  /** Runs while there is no link; at its end attempts are given up. */
+  /** Runs while there is no link. When it fires, all open attempts fail. */
   #giveUpTimer: NodeJS.Timeout | undefined;
-  /** The upstream process's clock as last heard, never extrapolated. */
+  /** The upstream process's clock as last received, never extrapolated. */
   #upstreamClock = 0;
   readonly #questions = new openQuestions.OpenQuestions();
 
@@ -75,12 +93,12 @@
     readonly parameters: RunnerLinkParameters,
   ) {}
 
-  /** Whether it gets no new work, by whichever word came first. */
+  /** Whether the runner is leaving by the host list or its own report. */
   get leaving(): boolean {
     return this.listedLeaving || this.#announcedLeaving;
   }
 
-  /** Whether new work may be sent. */
+  /** Whether new work may be sent to the runner. */
   get available(): boolean {
     return this.#link !== undefined && !this.leaving;
   }
@@ -95,27 +113,32 @@
     return this.#link?.counts;
   }
 
-  /** Sequences as reported, and what the report lacks of own requests. */
+  /** Reported sequences, plus this entry's requests that the report lacks. */
   get sequences(): number {
     return this.load.sequences + this.#pending.count;
   }
 
-  /** Whether it said so, and has told of no change since. */
+  /**
+   * Whether the runner refused a dispatch as full since its last load report.
+   */
   get isFull(): boolean {
     return this.#isFull;
   }
 
-  /** Prompt tokens of own requests that the last load report lacks. */
+  /** Prompt tokens of this entry's requests that the load report lacks. */
   get pendingTokens(): number {
     return this.#pending.promptTokens;
   }
 
-  /** Takes room for a request that is about to be dispatched here. */
+  /** Reserves capacity for a request that is about to be dispatched here. */
   reserve(promptTokens: number): pendingDispatches.Reservation {
     return this.#pending.reserve(promptTokens);
   }
 
-  /** Identity for a new attempt, bound to the runner's present incarnation. */
+  /**
+   * Identity of a new attempt, bound to the upstream process's present
+   * incarnation; `undefined` without a link.
+   */
   newAttempt(identifier: string): wire.Attempt | undefined {
     if (!this.hello || !this.#link) return undefined;
     const { incarnation } = this.hello;
@@ -123,7 +146,7 @@
     return { identifier, agentIncarnation: incarnation, issuedAt };
   }
 
-  /** Keeps a link to the runner until the signal aborts. */
+  /** Maintains a link to the runner until the signal aborts. */
   async run(signal: AbortSignal): Promise<void> {
     const backOff = new common.BackOff({
       firstMilliseconds: INITIAL_PAUSE_MILLISECONDS,
@@ -152,7 +175,10 @@
     this.#giveUpAll({ kind: outgoingAttempt.AttemptEventKind.Unreachable });
   }
 
-  /** Sends an attempt; it stays open until `close`. */
+  /**
+   * Sends an attempt, which stays open until `close`. Without a link, sends
+   * nothing and returns an attempt that never started.
+   */
   dispatch(
     attempt: wire.Attempt,
     dispatch: DispatchParameters,
@@ -163,8 +189,9 @@
       dispatch.body,
     );
     if (!this.#link) {
-      // The runner was dropped, or its link lost, between its choice and now:
-      // nothing is sent, and nothing might ever be heard.
+      // The runner was removed or its link lost after the request chose it.
+      // Nothing is sent, and without this event the attempt might wait for
+      // messages that never arrive.
       const kind = outgoingAttempt.AttemptEventKind.Settled;
       const state = wire.AttemptState.NeverStarted;
       outgoing.events.push({ kind, state });
@@ -179,7 +206,8 @@
       service: dispatch.service,
       repeatable: dispatch.repeatable,
       window: dispatch.window,
-      // What was sent of a body is gone, so it could not be sent again.
+      // 0 means no limit: a streamed body cannot be sent again, so the request
+      // could not be retried after a refusal.
       limit: dispatch.body ? 0 : dispatch.limit,
       claim: dispatch.claim,
       work: dispatch.work,
@@ -189,7 +217,7 @@
     return outgoing;
   }
 
-  /** Opens an attempt that another entry made, to collect its answer. */
+  /** Opens an attempt that was dispatched before, to collect its answer. */
   collect(
     attempt: wire.Attempt,
     window: number,
@@ -200,13 +228,16 @@
     return outgoing;
   }
 
-  /** Everything before `offset` has been passed on. */
+  /** Reports that all pieces before `offset` were passed on to the caller. */
   acknowledge(identifier: string, offset: number): void {
     const kind = wire.MessageKind.Acknowledge;
     this.#link?.send({ kind, identifier, offset });
   }
 
-  /** Forgets an attempt that is settled; the runner may drop its answer. */
+  /**
+   * Closes an attempt; later messages about it are ignored. With `release`, the
+   * runner may drop its answer.
+   */
   close(attempt: wire.Attempt, release: boolean): void {
     const { identifier } = attempt;
     this.attempts.delete(identifier);
@@ -214,12 +245,16 @@
     if (release) this.#link?.send({ kind, identifier });
   }
 
-  /** Stops an attempt, or refuses it if it has not arrived. */
+  /** Has the runner stop an attempt, or refuse it if it arrives later. */
   cancel(attempt: wire.Attempt): void {
     this.#link?.send({ kind: wire.MessageKind.Cancel, attempt });
   }
 
-  /** Settles an attempt; `undefined` when the runner did not answer. */
+  /**
+   * Asks the runner for the state of an attempt, and has it refuse the attempt
+   * for good if it has not started. Returns `undefined` if no answer arrives
+   * within the timeout.
+   */
   async settle(
     attempt: wire.Attempt,
     timeoutMilliseconds: number,
@@ -232,7 +267,10 @@
     return answer?.kind === wire.MessageKind.Settled ? answer.state : undefined;
   }
 
-  /** Claims of attempts that started there lately; `undefined` without an answer. */
+  /**
+   * Reads the claims of attempts that the upstream process was recently sent;
+   * `undefined` if no answer arrives within the timeout.
+   */
   async readClaims(
     timeoutMilliseconds: number,
   ): Promise<wire.ClaimsAnswer["claims"] | undefined> {
@@ -245,7 +283,10 @@
       : undefined;
   }
 
-  /** Gives a group order; `undefined` when the answer is unknown. */
+  /**
+   * Sends an order of the group's leader; `undefined` if no answer arrives
+   * within the timeout, so that the order may have been carried out or not.
+   */
   async order(
     order: wire.Order,
     agentIncarnation: string,
@@ -262,13 +303,19 @@
       : undefined;
   }
 
-  /** Asks the runner to refuse new work and finish what it has. */
+  /**
+   * Asks the runner to refuse new work and finish what it has. Returns false if
+   * there is no link.
+   */
   drain(): boolean {
     this.#link?.send({ kind: wire.MessageKind.Drain });
     return this.#link !== undefined;
   }
 
-  /** Reads the state dump of the upstream process. */
+  /**
+   * Reads the state dump of the upstream process; `undefined` if no answer
+   * arrives within the timeout.
+   */
   async readState(timeoutMilliseconds: number): Promise<string | undefined> {
     const answer = await this.#ask(timeoutMilliseconds, (question) => ({
       kind: wire.MessageKind.StateRequest,
@@ -289,7 +336,10 @@
     return this.#questions.ask({ send, build, timeoutMilliseconds });
   }
 
-  /** Serves one connection; false if it never came to a greeting. */
+  /**
+   * Handles the messages of one connection until it closes. Returns false if
+   * the upstream process never sent its hello.
+   */
   async #serve(link: wire.Link, signal: AbortSignal): Promise<boolean> {
     const { settings, incarnation, logger } = this.parameters;
     this.#linkNumber++;
@@ -324,6 +374,10 @@
     return true;
   }
 
+  /**
+   * Applies the first message of a new connection. If it comes from another
+   * incarnation, the open attempts are lost.
+   */
   #acceptHello(hello: wire.Hello): void {
     const replaced =
       this.hello !== undefined && this.hello.incarnation !== hello.incarnation;
@@ -406,7 +460,10 @@
     this.#findAttempt(message.identifier)?.events.push({ kind, state });
   }
 
-  /** A frame of an attempt that is not open belongs to no request any more. */
+  /**
+   * The open attempt with an identifier. A message for any other attempt is
+   * stale: its request is finished.
+   */
   #findAttempt(
     identifier: string,
   ): outgoingAttempt.OutgoingAttempt | undefined {
@@ -446,7 +503,10 @@
     logger.event(code, { peer: this.host.name, reason: link.end });
   }
 
-  /** Requests get their final answer now: nothing more will be heard. */
+  /**
+   * Gives all open attempts their final event, because no more messages about
+   * them will arrive.
+   */
   #giveUpAll(event: outgoingAttempt.AttemptEvent): void {
     for (const outgoing of this.attempts.values()) outgoing.events.push(event);
   }
--- a/packages/daemon/src/dispatch/stoppable_request.ts
+++ b/packages/daemon/src/dispatch/stoppable_request.ts
@@ -1,9 +1,9 @@
 import * as fingerprint from "../quarantine/fingerprint.ts";
 import type * as watchedRequests from "../quarantine/watched_requests.ts";
 
-/** An accepted request as the quarantine sees it. */
+/** An accepted request that the quarantine can identify and stop. */
 export class StoppableRequest implements watchedRequests.WatchedRequest {
-  /** Ends the attempt under way, if it may be ended. */
+  /** Stops the current attempt, if that is allowed; unset between attempts. */
   onStop: (() => void) | undefined;
 
   constructor(
@@ -11,12 +11,12 @@
     readonly lazyFingerprint: fingerprint.LazyFingerprint,
   ) {}
 
-  /** Name of the request by what it asks for. */
+  /** Fingerprint of what the request asks for, computed on first use. */
   get fingerprint(): string {
     return this.lazyFingerprint.value;
   }
 
-  /** It is put in quarantine while it is under way. */
+  /** Stops the current attempt, because the request was put in quarantine. */
   stop(): void {
     this.onStop?.();
   }
--- a/packages/daemon/src/dispatch/subscription.ts
+++ b/packages/daemon/src/dispatch/subscription.ts
@@ -1,10 +1,13 @@
 import * as common from "@geraniumkeel/common";
 import type * as backingServices from "@geraniumkeel/backing_services";
 
-/** Runners of one service that an entry links to at least, if there are as many. */
+/**
+ * Runners of each service that an entry links to at least, if there are as
+ * many.
+ */
 export const MIN_SUBSCRIBED_RUNNERS = 128;
 
-/** Where an entry stands. */
+/** The host of an entry, with its data centre and region. */
 export interface Position {
   host: string;
   place: string;
@@ -12,10 +15,12 @@
 }
 
 /**
- * The runners an entry links to. Whole groups are taken, as a request is placed
- * by the step time of all ranks of a group; nearest groups first, and among
- * equally near ones by rendezvous hashing, so that entries spread evenly and a
- * change of hosts moves few links. Links grow with the subset and not with
+ * Chooses the runners that an entry links to and returns them by host name. For
+ * each service it adds complete groups until it has enough runners, because
+ * routing places a request by the iteration times of all ranks of a group. It
+ * prefers near groups, and orders equally near ones by rendezvous hashing, so
+ * that entries spread evenly over groups and a change of hosts moves few links.
+ * The number of links therefore grows with the size of the subset and not with
  * entries × runners.
  */
 export function chooseRunners(parameters: {
@@ -40,6 +45,10 @@
   return chosen;
 }
 
+/**
+ * Groups of hosts in the order in which an entry prefers them. A host without a
+ * group forms one of its own.
+ */
 function groupsInOrder(
   self: Position,
   hosts: backingServices.Host[],
@@ -64,7 +73,7 @@
     .map(({ group }) => group);
 }
 
-/** 0 for the same place, 1 for the same region, 2 beyond. */
+/** 0 for the same data centre, 1 for the same region, 2 for another region. */
 export function distanceClass(
   self: Position,
   host: { place: string; region: string },
