--- a/packages/daemon/src/dispatch/dispatcher.ts
+++ b/packages/daemon/src/dispatch/dispatcher.ts
@@ -97,7 +97,10 @@
       signal: accepted.signal,
       wasAdmitted,
       take: (capacityShare) => {
-        const limit = Math.max(1, Math.floor(runnerConcurrency * capacityShare));
+        const limit = Math.max(
+          1,
+          Math.floor(runnerConcurrency * capacityShare),
+        );
         const runner = router.choose({
           service,
           runnerConcurrency: limit,
