--- a/packages/daemon/src/dispatch/follow_attempt.ts
+++ b/packages/daemon/src/dispatch/follow_attempt.ts
@@ -34,8 +34,8 @@
   accepted.signal.addEventListener("abort", onCallerGone, { once: true });
   if (accepted.signal.aborted) onCallerGone();
   const startedAt = common.now();
-  // The quarantine stops only a repeatable request of which the caller has not
-  // received anything. All others run on until they finish.
+  // The quarantine stops a request only if it is repeatable and the caller has
+  // received nothing of its answer. All others run on until they finish.
   accepted.watched.onStop = () => {
     if (!accepted.repeatable || sink.delivered) return;
     events.push({ kind: AttemptEventKind.Quarantined });
