--- a/packages/daemon/src/dispatch/claim_removal.ts
+++ b/packages/daemon/src/dispatch/claim_removal.ts
@@ -2,17 +2,20 @@
 import type * as lease from "../lease/lease.ts";
 import type * as claimStore from "./claim_store.ts";
 
-const BATCH = 200;
+/** Rows that are read at once. */
+const BATCH_ROWS = 200;
 
 /**
- * Removes claims past their retention, in batches, at whichever entry holds the
- * lease of this duty. Two at once would only delete the same rows.
+ * Removes claims past their retention, one batch of rows each period, until the
+ * signal aborts. Only the entry that has the lease for this duty does so. The
+ * lease saves work and is not needed for safety: two entries at once would only
+ * delete the same rows.
  */
 export async function removeOldClaims(parameters: {
   claims: claimStore.ClaimStore;
   lease: lease.Lease;
-  /** Whether this entry should try for the lease at all. */
-  preferred: () => boolean;
+  /** Whether this entry is the one that should acquire the lease. */
+  isPreferredHolder: () => boolean;
   retentionMilliseconds: number;
   periodMilliseconds: number;
   signal: AbortSignal;
@@ -21,10 +24,14 @@
   let from = "";
   while (!signal.aborted) {
     await common.sleep(periodMilliseconds, signal);
-    if (signal.aborted || !parameters.preferred()) continue;
+    if (signal.aborted || !parameters.isPreferredHolder()) continue;
     if ((await parameters.lease.renew()) === undefined) continue;
     const before = Date.now() - parameters.retentionMilliseconds;
-    const removed = await claims.removeOld({ before, from, limit: BATCH });
+    const removed = await claims.removeBatch({
+      before,
+      from,
+      limit: BATCH_ROWS,
+    });
     from = removed.isOk() ? (removed.value.next ?? "") : from;
   }
   await parameters.lease.release();
--- a/packages/daemon/src/dispatch/claim_store.ts
+++ b/packages/daemon/src/dispatch/claim_store.ts
@@ -3,78 +3,90 @@
 import * as backingServices from "@geraniumkeel/backing_services";
 import type * as wire from "@geraniumkeel/wire";
 
-/** State of a claim. */
+/** What a claim says about its attempt. */
 export enum ClaimState {
-  /** An attempt was named; only its runner knows what became of it. */
+  /** The claim names an attempt; only its runner knows the outcome. */
   Claimed = "claimed",
-  /** It ran. */
+  /** The attempt ran to completion. */
   Settled = "settled",
-  /** It cannot be known whether it ran. */
+  /** The attempt may have run, and its outcome cannot be learned. */
   Unsettled = "unsettled",
 }
 
-/** Answer kept with a settled claim, for replay. */
-export interface KeptAnswer {
+/** Answer stored with a settled claim, for repeated requests. */
+export interface StoredAnswer {
   head: wire.AnswerHead;
   /** Body in base64. */
   body: string;
 }
 
-/** What the table holds of one idempotency key. */
+/**
+ * Row of the table service for one idempotency key. It names the only attempt
+ * that may run for the key.
+ */
 export interface Claim {
+  /** Random text, new with each write, by which a writer knows its own row. */
   nonce: string;
-  /** Digest of the request: the same key may not be used for another. */
+  /** Digest of the request; the key may not be used for a different request. */
   digest: string;
   state: ClaimState;
-  /** Entry that made the claim. */
+  /** Host of the entry that wrote the claim. */
   entry: string;
-  /** Runner that the attempt was, or is about to be, sent to. */
+  /** Host of the runner that the attempt was, or is about to be, sent to. */
   runner: string;
   attempt: wire.Attempt;
-  /** Wall-clock time in milliseconds, for removal only. */
+  /** Wall-clock time in milliseconds, used only to remove old claims. */
   createdAt: number;
-  answer?: KeptAnswer;
+  answer?: StoredAnswer;
 }
 
-/** A claim with the table revision on which a change must be based. */
-export interface HeldClaim {
+/** A claim in the table, with the revision on which a change must be based. */
+export interface StoredClaim {
   claim: Claim;
   revision: backingServices.Revision;
 }
 
-/** What became of writing a claim. */
-export type ClaimOutcome =
-  | { kind: "held"; held: HeldClaim }
-  | { kind: "other"; held: HeldClaim }
+/** Outcome of writing a claim. */
+export type ClaimWriteResult =
+  | { kind: "written"; stored: StoredClaim }
+  /** The row is not at the expected revision: `stored` is there instead. */
+  | { kind: "exists"; stored: StoredClaim }
+  /** The table service did not confirm the write; it may have taken effect. */
   | { kind: "store-unavailable" };
 
-const PREFIX = "claims/";
+const KEY_PREFIX = "claims/";
 
 /** Table key of an account's idempotency key. */
 export function claimKey(account: string, idempotencyKey: string): string {
-  return `${PREFIX}${account}/${common.hashKey(idempotencyKey)}`;
+  return `${KEY_PREFIX}${account}/${common.hashKey(idempotencyKey)}`;
 }
 
-/** Claims of non-repeatable requests in the table service. */
+/**
+ * Reads and writes claims in the table service. With claims, entries ensure
+ * that a request that may not be repeated runs at most once per idempotency
+ * key.
+ */
 export class ClaimStore {
   constructor(
     readonly parameters: {
       table: backingServices.TableService;
       random: common.Random;
-      patienceMilliseconds: number;
+      timeoutMilliseconds: number;
     },
   ) {}
 
   /**
-   * Writes a claim if there is none, or in place of `base`. The claim names the
-   * runner before the request is sent to it: whoever finds the claim later can
-   * settle the attempt there, also against an entry that is only paused.
+   * Writes a claim if there is none, or in place of `base`. An entry writes the
+   * claim, with the runner's name, before it sends the request to that runner.
+   * Any entry that finds the claim later can therefore settle the attempt at
+   * the runner, even if the entry that wrote it is only paused and sends its
+   * request afterwards.
    */
   async write(parameters: {
     key: string;
     claim: Omit<Claim, "nonce">;
-    base: HeldClaim | undefined;
-  }): Promise<ClaimOutcome> {
+    base: StoredClaim | undefined;
+  }): Promise<ClaimWriteResult> {
     const { key, base } = parameters;
     const nonce = common.randomIdentifier();
     const claim = { ...parameters.claim, nonce };
@@ -87,17 +99,17 @@
         decidingKey: key,
         nonce,
       },
-      timeoutMilliseconds: this.parameters.patienceMilliseconds,
+      timeoutMilliseconds: this.parameters.timeoutMilliseconds,
       random: this.parameters.random,
     });
     switch (outcome.kind) {
       case backingServices.DefiniteKind.Committed: {
         const { revision } = outcome;
-        return { kind: "held", held: { claim, revision } };
+        return { kind: "written", stored: { claim, revision } };
       }
       case backingServices.DefiniteKind.Conflict:
         if (!outcome.row) return { kind: "store-unavailable" };
-        return { kind: "other", held: parseClaim(outcome.row) };
+        return { kind: "exists", stored: parseClaim(outcome.row) };
       case backingServices.DefiniteKind.PastEpoch:
       case backingServices.DefiniteKind.NotWritten:
       case backingServices.DefiniteKind.GivenUp:
@@ -105,8 +117,13 @@
     }
   }
 
-  /** Removes up to `limit` claims made before a time; returns how many. */
-  async removeOld(parameters: {
+  /**
+   * Reads up to `limit` rows from the key `from` on, or from the first claim if
+   * it is empty, and removes those created before a wall-clock time in
+   * milliseconds. Returns how many it removed and the key from which to go on;
+   * `next` is `undefined` after the last row.
+   */
+  async removeBatch(parameters: {
     before: number;
     from: string;
     limit: number;
@@ -116,8 +133,9 @@
       backingServices.TableUnavailable
     >
   > {
-    const from = parameters.from || PREFIX;
+    const from = parameters.from || KEY_PREFIX;
     const { limit } = parameters;
+    // "0" is the character after "/", so the range covers all claim keys.
     const to = "claims0";
     const rows = await this.parameters.table.range({ from, to, limit });
     if (rows.isErr()) return neverthrow.err(rows.error);
@@ -125,8 +143,8 @@
       (row) => parseClaim(row).claim.createdAt < parameters.before,
     );
     const last = rows.value.at(-1);
-    const more = rows.value.length === limit && last;
-    const next = more ? `${last.key}\0` : undefined;
+    const mayFollow = rows.value.length === limit && last;
+    const next = mayFollow ? `${last.key}\0` : undefined;
     if (old.length === 0) return neverthrow.ok({ removed: 0, next });
     const outcome = await this.parameters.table.transact({
       conditions: old.map(({ key, revision }) =>
@@ -142,6 +160,6 @@
   }
 }
 
-function parseClaim(row: backingServices.Row): HeldClaim {
+function parseClaim(row: backingServices.Row): StoredClaim {
   return { claim: JSON.parse(row.value) as Claim, revision: row.revision };
 }
--- a/packages/daemon/src/dispatch/dispatcher.ts
+++ b/packages/daemon/src/dispatch/dispatcher.ts
@@ -3,50 +3,55 @@
 import type * as serviceQueue from "../admission/service_queue.ts";
 import type * as router from "../routing/router.ts";
 import type * as answerSink from "./answer_sink.ts";
-import * as conductAttempt from "./conduct_attempt.ts";
-import * as keyedRequest from "./keyed_request.ts";
+import * as followAttempt from "./follow_attempt.ts";
+import * as keyedRequests from "./keyed_requests.ts";
 import * as request from "./request.ts";
 import type * as retryBudget from "./retry_budget.ts";
 import type * as runnerObtainer from "./runner_obtainer.ts";
 
-/** Attempts at one request at most. */
-const MOST_ATTEMPTS = 4;
+/** Failed attempts after which a request is not tried again. */
+const MAX_FAILED_ATTEMPTS = 4;
 
-/** What dispatching needs of the rest of the entry. */
+/** The parts of an entry that its dispatcher uses. */
 export interface DispatcherParameters {
   router: router.Router;
   queueOf: (
     service: string,
   ) => serviceQueue.ServiceQueue<runnerObtainer.ReservedRunner>;
   budgetOf: (service: string) => retryBudget.RetryBudget;
-  keyed: keyedRequest.KeyedRequests;
+  /** Runs the requests that have an idempotency key and may not be repeated. */
+  keyed: keyedRequests.KeyedRequests;
   quarantine: quarantine.Quarantine;
   logger: common.Logger;
   metrics: common.Metrics;
   history: common.HistoryRecorder;
+  /** Host of this entry. */
   host: string;
-  /** Jittered time after which a refused caller should come back. */
+  /** Jittered time after which a refused caller should try again. */
   retryAfterMilliseconds: () => number;
 }
 
-/** Runs accepted requests: queue, runner, attempts, result. */
+/**
+ * Runs accepted requests: waits in the service's queue, chooses a runner, sends
+ * attempts until one gives an outcome, and returns the result.
+ */
 export class Dispatcher implements runnerObtainer.RunnerObtainer {
   #running = 0;
 
   constructor(readonly parameters: DispatcherParameters) {}
 
-  /** Requests accepted and not answered. */
+  /** Number of requests that were accepted and have no result yet. */
   get running(): number {
     return this.#running;
   }
 
-  /** Runs a request to its final result. */
+  /** Runs a request and returns its final result. */
   async run(
     accepted: request.AcceptedRequest,
     sink: answerSink.AnswerSink,
   ): Promise<request.RequestResult> {
     this.#running++;
-    const unwatch = this.parameters.quarantine.watch(accepted.watched);
+    const stopWatching = this.parameters.quarantine.watch(accepted.watched);
     try {
       this.parameters.budgetOf(accepted.service).earn();
       if (accepted.idempotencyKey !== undefined && !accepted.repeatable) {
@@ -54,13 +59,16 @@
       }
       return await this.#runAttempts(accepted, sink);
     } finally {
-      unwatch();
+      stopWatching();
       this.#running--;
       this.parameters.queueOf(accepted.service).admitWaiting();
     }
   }
 
-  /** Waits in the queue for a runner that has not refused the request yet. */
+  /**
+   * Waits in the queue for a runner with free capacity that is not excluded. A
+   * request that `wasAdmitted` before enters even a full queue.
+   */
   async obtainRunner(
     accepted: request.AcceptedRequest,
     excluded: ReadonlySet<string>,
@@ -70,10 +78,16 @@
     const { service, runnerConcurrency, prefixBlocks } = accepted;
     const { promptTokens, expectedTokens } = accepted;
     if (!router.hasAvailableRunner(service)) {
-      return this.#notRun(request.NotRunReason.NoRunner);
+      return this.#obtainedNoRunner(request.NotRunReason.NoRunner);
     }
-    const held = quarantine.remainingMilliseconds(accepted.watched);
-    if (held > 0) return this.#notRun(request.NotRunReason.Quarantined, held);
+    const quarantinedMilliseconds = quarantine.remainingMilliseconds(
+      accepted.watched,
+    );
+    if (quarantinedMilliseconds > 0)
+      return this.#obtainedNoRunner(
+        request.NotRunReason.Quarantined,
+        quarantinedMilliseconds,
+      );
     const outcome = await this.parameters.queueOf(service).enter({
       account: accepted.account,
       weight: accepted.weight,
@@ -82,8 +96,11 @@
       deadline: accepted.deadline,
       signal: accepted.signal,
       wasAdmitted,
-      takeRunner: (roomShare) => {
-        const limit = Math.max(1, Math.floor(runnerConcurrency * roomShare));
+      takeRunner: (capacityShare) => {
+        const limit = Math.max(
+          1,
+          Math.floor(runnerConcurrency * capacityShare),
+        );
         const runner = router.choose({
           service,
           runnerConcurrency: limit,
@@ -99,10 +116,13 @@
     switch (outcome.kind) {
       case "admitted": {
         const { waitedMilliseconds, runner: reserved } = outcome;
-        const heldNow = quarantine.admit(accepted.watched);
-        if (heldNow > 0) {
+        const remainingMilliseconds = quarantine.admit(accepted.watched);
+        if (remainingMilliseconds > 0) {
           reserved.reservation.release();
-          return this.#notRun(request.NotRunReason.Quarantined, heldNow);
+          return this.#obtainedNoRunner(
+            request.NotRunReason.Quarantined,
+            remainingMilliseconds,
+          );
         }
         const tags = { service };
         const metric = common.Metric.QueueWait;
@@ -110,12 +130,12 @@
         return { kind: "runner", ...reserved };
       }
       case "full":
-        return this.#notRun(
+        return this.#obtainedNoRunner(
           request.NotRunReason.QueueFull,
           outcome.retryAfterMilliseconds,
         );
       case "too-late":
-        return this.#notRun(
+        return this.#obtainedNoRunner(
           request.NotRunReason.DeadlineTooNear,
           outcome.retryAfterMilliseconds,
         );
@@ -128,22 +148,23 @@
   }
 
   /**
-   * Whether another attempt may be made after one that never started, or one
-   * whose work may be repeated. `failures` counts those that failed so far.
+   * Decides whether a request gets another attempt after one that never started
+   * or may be repeated, and charges the retry budget for it. `failures` counts
+   * the failed attempts so far, this one included.
    */
-  mayRetry(
+  permitRetry(
     accepted: request.AcceptedRequest,
     failures: number,
     cause: request.NotStartedCause,
   ): boolean {
-    if (failures >= MOST_ATTEMPTS) return false;
-    // What was streamed of the body is gone; there is nothing to send again.
+    if (failures >= MAX_FAILED_ATTEMPTS) return false;
+    // Pieces of a streamed body are not retained, so they cannot be sent again.
     if (accepted.body) return false;
     const { service } = accepted;
-    // Being turned away by a leaving runner cost nothing and is planned; paying
-    // for it would refuse requests just because a host is taken out.
-    const charged = cause === request.NotStartedCause.Failed;
-    if (charged && !this.parameters.budgetOf(service).spend()) return false;
+    // A refusal by a leaving runner is planned and costs no work. Charging for
+    // it would refuse requests only because an operator removes a host.
+    const isCharged = cause === request.NotStartedCause.Failed;
+    if (isCharged && !this.parameters.budgetOf(service).spend()) return false;
     const { logger, metrics } = this.parameters;
     const { identifier } = accepted;
     logger.event(common.EventCode.RequestRetried, { identifier, failures });
@@ -151,13 +172,19 @@
     return true;
   }
 
-  /** A request that was not run, with the time to come back. */
+  /**
+   * Result of a request that was not run. The caller should try again after the
+   * jittered time or `waitMilliseconds`, whichever is longer.
+   */
   notRun(
     reason: request.NotRunReason,
     waitMilliseconds = 0,
   ): request.RequestResult {
-    const jittered = this.parameters.retryAfterMilliseconds();
-    const retryAfterMilliseconds = Math.max(jittered, waitMilliseconds);
+    const jitteredMilliseconds = this.parameters.retryAfterMilliseconds();
+    const retryAfterMilliseconds = Math.max(
+      jitteredMilliseconds,
+      waitMilliseconds,
+    );
     return { kind: request.ResultKind.NotRun, reason, retryAfterMilliseconds };
   }
 
@@ -166,16 +193,21 @@
     sink: answerSink.AnswerSink,
   ): Promise<request.RequestResult> {
     const excluded = new Set<string>();
-    let mayHaveRun: string | undefined;
+    let mayHaveRunReason: string | undefined;
     let failures = 0;
     for (let attempts = 1; ; attempts++) {
       const wasAdmitted = attempts > 1;
       const obtained = await this.obtainRunner(accepted, excluded, wasAdmitted);
       if (obtained.kind === "result") {
-        return truthful(obtained.result, mayHaveRun);
+        return withEarlierAttempts(obtained.result, mayHaveRunReason);
       }
       const { runner } = obtained;
-      const outcome = await this.#attemptAt(obtained, accepted, attempts, sink);
+      const outcome = await this.#runAttempt(
+        obtained,
+        accepted,
+        attempts,
+        sink,
+      );
       switch (outcome.kind) {
         case request.AttemptOutcomeKind.Complete: {
           const { finishReason, promptTokens } = outcome;
@@ -186,27 +218,29 @@
         case request.AttemptOutcomeKind.CallerGone:
           return { kind: request.ResultKind.CallerGone };
         case request.AttemptOutcomeKind.Deadline:
-          return afterDelivery(sink, "deadline passed");
-        case request.AttemptOutcomeKind.Held:
-          return afterDelivery(sink, "put in quarantine");
+          return unfinishedResult(sink, "the deadline passed");
+        case request.AttemptOutcomeKind.Quarantined:
+          return unfinishedResult(sink, "the request was put in quarantine");
         case request.AttemptOutcomeKind.NeverStarted:
-          // It goes back to the queue; its deadline ends that.
+          // The request goes back to the queue, at most until its deadline.
           if (outcome.cause === request.NotStartedCause.Full) continue;
-          if (this.mayRetry(accepted, ++failures, outcome.cause)) break;
-          return truthful(
+          if (this.permitRetry(accepted, ++failures, outcome.cause)) break;
+          return withEarlierAttempts(
             this.notRun(request.NotRunReason.EngineUnavailable),
-            mayHaveRun,
+            mayHaveRunReason,
           );
         case request.AttemptOutcomeKind.Broken:
         case request.AttemptOutcomeKind.Unsettled: {
           const { reason } = outcome;
-          mayHaveRun = reason;
-          // Pieces of two samplings never make one answer: once the caller has
-          // seen part of it, there is no second try.
-          const fresh = accepted.repeatable && !sink.delivered;
+          mayHaveRunReason = reason;
+          // Another attempt samples another text, and pieces of two texts make
+          // no correct answer. Once the caller has received a piece, there is
+          // no other attempt.
+          const mayRepeat = accepted.repeatable && !sink.delivered;
           const { Failed } = request.NotStartedCause;
-          if (fresh && this.mayRetry(accepted, ++failures, Failed)) break;
-          return afterDelivery(sink, reason);
+          if (mayRepeat && this.permitRetry(accepted, ++failures, Failed))
+            break;
+          return unfinishedResult(sink, reason);
         }
       }
       sink.reset();
@@ -214,13 +248,13 @@
     }
   }
 
-  async #attemptAt(
+  async #runAttempt(
     { runner, reservation, limit }: runnerObtainer.ReservedRunner,
     accepted: request.AcceptedRequest,
     number: number,
     sink: answerSink.AnswerSink,
   ): Promise<request.AttemptOutcome> {
-    // Released here: nothing else runs before the dispatch counts instead.
+    // From here on the dispatch itself counts. No other code runs in between.
     reservation.release();
     const identifier = `${accepted.identifier}/${number}`;
     const attempt = runner.newAttempt(identifier);
@@ -232,7 +266,7 @@
     const outgoing = runner.dispatch(attempt, sent);
     const { history, host } = this.parameters;
     history.record({ kind: "dispatched", host, identifier });
-    return conductAttempt.conductAttempt({
+    return followAttempt.followAttempt({
       runner,
       outgoing,
       accepted,
@@ -241,7 +275,7 @@
     });
   }
 
-  #notRun(
+  #obtainedNoRunner(
     reason: request.NotRunReason,
     waitMilliseconds = 0,
   ): runnerObtainer.ObtainedRunner {
@@ -250,20 +284,24 @@
 }
 
 /**
- * "Not run" must be true of the whole request: if an earlier attempt may have
- * run, a later one that never started does not undo that.
+ * Result of a request in view of its earlier attempts. "Not run" must be true
+ * of all attempts: if an earlier one may have run, the result is `MayHaveRun`,
+ * even if the last one never started.
  */
-function truthful(
+function withEarlierAttempts(
   result: request.RequestResult,
-  mayHaveRun: string | undefined,
+  mayHaveRunReason: string | undefined,
 ): request.RequestResult {
   if (result.kind !== request.ResultKind.NotRun) return result;
-  if (mayHaveRun === undefined) return result;
-  return { kind: request.ResultKind.MayHaveRun, reason: mayHaveRun };
+  if (mayHaveRunReason === undefined) return result;
+  return { kind: request.ResultKind.MayHaveRun, reason: mayHaveRunReason };
 }
 
-/** What the caller is told of an answer that will not be completed. */
-function afterDelivery(
+/**
+ * Result of a request whose answer will not be completed: `Incomplete` if the
+ * caller has received part of it, otherwise `MayHaveRun`.
+ */
+function unfinishedResult(
   sink: answerSink.AnswerSink,
   reason: string,
 ): request.RequestResult {
--- a/packages/daemon/src/dispatch/conduct_attempt.ts
+++ b/packages/daemon/src/dispatch/follow_attempt.ts
@@ -7,11 +7,11 @@
 import * as request from "./request.ts";
 import type * as runnerLink from "./runner_link.ts";
 
-/** Engines do not tell the version of their software. */
+/** Engines do not report the version of their software. */
 const UNKNOWN_VERSION = "";
 
-/** An attempt that is under way at a runner. */
-export interface ConductedAttempt {
+/** An attempt that was sent to a runner, and what following it needs. */
+export interface FollowedAttempt {
   runner: runnerLink.RunnerLink;
   outgoing: outgoingAttempt.OutgoingAttempt;
   accepted: request.AcceptedRequest;
@@ -20,48 +20,56 @@
 }
 
 /**
- * Follows one attempt to its outcome and passes its answer on. Only a word of
- * the runner settles an attempt; silence settles nothing.
+ * Follows one attempt to its outcome and passes its answer on to the caller.
+ * Only a message of the runner settles an attempt. A lost link settles nothing,
+ * as the attempt may still be running.
  */
-export async function conductAttempt(
-  parameters: ConductedAttempt,
+export async function followAttempt(
+  parameters: FollowedAttempt,
 ): Promise<request.AttemptOutcome> {
   const { runner, outgoing, accepted, sink } = parameters;
   const { attempt, events } = outgoing;
   const { AttemptEventKind } = outgoingAttempt;
-  const onGone = () => events.push({ kind: AttemptEventKind.CallerGone });
-  accepted.signal.addEventListener("abort", onGone, { once: true });
-  if (accepted.signal.aborted) onGone();
+  const onCallerGone = () => events.push({ kind: AttemptEventKind.CallerGone });
+  accepted.signal.addEventListener("abort", onCallerGone, { once: true });
+  if (accepted.signal.aborted) onCallerGone();
   const startedAt = common.now();
-  // What may not be repeated runs to its end, and so does what already answers.
+  // The quarantine stops a request only if it is repeatable and the caller has
+  // received nothing of its answer. All others run on until they finish.
   accepted.watched.onStop = () => {
     if (!accepted.repeatable || sink.delivered) return;
-    events.push({ kind: AttemptEventKind.Held });
+    events.push({ kind: AttemptEventKind.Quarantined });
   };
   const timer = setTimeout(
     () => events.push({ kind: AttemptEventKind.Deadline }),
     Math.max(0, accepted.deadline - common.now()),
   );
   try {
-    const outcome = await follow(parameters);
-    tellQuarantine(parameters, outcome, startedAt);
-    const over = endsWork(outcome);
-    // Giving up does not end the work: stop it where that is allowed. What may
-    // not be repeated runs to its end, as stopping it half-way helps nobody.
-    if (!over && accepted.repeatable) runner.cancel(attempt);
-    const keep = accepted.idempotencyKey !== undefined;
-    runner.close(attempt, over && !keep);
+    const outcome = await awaitOutcome(parameters);
+    reportToQuarantine(parameters, outcome, startedAt);
+    const stopped = hasWorkStopped(outcome);
+    // The runner goes on after this entry gives up, so a repeatable request is
+    // cancelled there. A non-repeatable request runs on until it finishes: it
+    // would be of no use half done.
+    if (!stopped && accepted.repeatable) runner.cancel(attempt);
+    // The runner retains the answer of a keyed request until its claim is
+    // written.
+    const isKeyed = accepted.idempotencyKey !== undefined;
+    runner.close(attempt, stopped && !isKeyed);
     return outcome;
   } finally {
     accepted.watched.onStop = undefined;
     clearTimeout(timer);
-    accepted.signal.removeEventListener("abort", onGone);
+    accepted.signal.removeEventListener("abort", onCallerGone);
   }
 }
 
-/** What an outcome says of the request and of its runner. */
-function tellQuarantine(
-  { runner, accepted, quarantine }: ConductedAttempt,
+/**
+ * Reports to the quarantine that a request was answered, or that a runner
+ * crashed while it ran the request.
+ */
+function reportToQuarantine(
+  { runner, accepted, quarantine }: FollowedAttempt,
   outcome: request.AttemptOutcome,
   startedAt: number,
 ): void {
@@ -86,13 +94,13 @@
     case request.AttemptOutcomeKind.NeverStarted:
     case request.AttemptOutcomeKind.Deadline:
     case request.AttemptOutcomeKind.CallerGone:
-    case request.AttemptOutcomeKind.Held:
+    case request.AttemptOutcomeKind.Quarantined:
       return;
   }
 }
 
-/** Whether nothing runs any more after this outcome. */
-function endsWork(outcome: request.AttemptOutcome): boolean {
+/** Whether the runner has certainly stopped work on an attempt. */
+function hasWorkStopped(outcome: request.AttemptOutcome): boolean {
   switch (outcome.kind) {
     case request.AttemptOutcomeKind.Complete:
     case request.AttemptOutcomeKind.NeverStarted:
@@ -101,13 +109,14 @@
     case request.AttemptOutcomeKind.Unsettled:
     case request.AttemptOutcomeKind.Deadline:
     case request.AttemptOutcomeKind.CallerGone:
-    case request.AttemptOutcomeKind.Held:
+    case request.AttemptOutcomeKind.Quarantined:
       return false;
   }
 }
 
-async function follow(
-  parameters: ConductedAttempt,
+/** Handles the events of an attempt until one of them gives its outcome. */
+async function awaitOutcome(
+  parameters: FollowedAttempt,
 ): Promise<request.AttemptOutcome> {
   const { runner, outgoing, accepted, sink } = parameters;
   const { identifier } = outgoing.attempt;
@@ -125,7 +134,7 @@
       case AttemptEventKind.Pieces:
         await sink.pieces(event.pieces);
         passedOn += event.pieces.length;
-        // Half a window is acknowledged at a time, to save messages.
+        // Acknowledges at every half window, to save messages.
         if (passedOn - acknowledged >= accepted.window / 2) {
           acknowledged = passedOn;
           runner.acknowledge(identifier, acknowledged);
@@ -135,35 +144,38 @@
         return outcomeOfEnd(event.end);
       case AttemptEventKind.Settled:
         return outcomeOfState(event.state);
-      case AttemptEventKind.Lost:
+      case AttemptEventKind.UpstreamReplaced:
         return {
           kind: AttemptOutcomeKind.Unsettled,
-          reason: "upstream process replaced",
+          reason: "the upstream process was replaced",
           endedLife: outgoing.attempt.agentIncarnation,
         };
       case AttemptEventKind.Unreachable:
         return {
           kind: AttemptOutcomeKind.Unsettled,
-          reason: "upstream process unreachable",
+          reason: "the upstream process is unreachable",
           endedLife: "",
         };
       case AttemptEventKind.Deadline:
         return { kind: AttemptOutcomeKind.Deadline };
-      case AttemptEventKind.Held:
-        return { kind: AttemptOutcomeKind.Held };
+      case AttemptEventKind.Quarantined:
+        return { kind: AttemptOutcomeKind.Quarantined };
       case AttemptEventKind.CallerGone:
-        // The answer of a non-repeatable request is still waited for: its claim
-        // must say how it ended.
+        // A keyed request that may not be repeated is followed further, because
+        // its outcome must go into its claim.
         if (accepted.repeatable || accepted.idempotencyKey === undefined) {
           return { kind: AttemptOutcomeKind.CallerGone };
         }
         break;
     }
   }
-  return unsettled("entry stopping");
+  return unsettled("this entry is stopping");
 }
 
-/** A refusal is settled; only one that cost work is charged as a retry. */
+/**
+ * Outcome of an attempt that the runner refused: it never started. The cause
+ * decides whether the next attempt is charged as a retry.
+ */
 function refusedOutcome(reason: wire.RefusalReason): request.AttemptOutcome {
   const kind = request.AttemptOutcomeKind.NeverStarted;
   switch (reason) {
@@ -198,12 +210,13 @@
     case wire.EndKind.Cancelled:
       return {
         kind: AttemptOutcomeKind.Broken,
-        reason: "cancelled",
+        reason: "the attempt was cancelled",
         endedLife: "",
       };
   }
 }
 
+/** Outcome of an attempt whose state the runner reported without an answer. */
 function outcomeOfState(state: wire.AttemptState): request.AttemptOutcome {
   const { AttemptOutcomeKind } = request;
   switch (state) {
@@ -215,7 +228,7 @@
     case wire.AttemptState.Running:
     case wire.AttemptState.Finished:
     case wire.AttemptState.Forgotten:
-      return unsettled("forgotten");
+      return unsettled("the runner no longer knows the attempt");
   }
 }
 
--- a/packages/daemon/src/dispatch/keyed_request.ts
+++ b/packages/daemon/src/dispatch/keyed_requests.ts
@@ -3,11 +3,11 @@
 import * as wire from "@geraniumkeel/wire";
 import type * as quarantine from "../quarantine/quarantine.ts";
 import type * as answerSink from "./answer_sink.ts";
-import * as claimOutcomes from "./claim_outcomes.ts";
+import * as outcomeRecorder from "./outcome_recorder.ts";
 import * as claimStore from "./claim_store.ts";
 import * as claimTakeover from "./claim_takeover.ts";
-import * as conductAttempt from "./conduct_attempt.ts";
-import * as keepingSink from "./keeping_sink.ts";
+import * as followAttempt from "./follow_attempt.ts";
+import * as recordingSink from "./recording_sink.ts";
 import type * as lostClaims from "./lost_claims.ts";
 import * as request from "./request.ts";
 import type * as runnerDirectory from "./runner_directory.ts";
@@ -15,48 +15,55 @@
 import type * as runnerObtainer from "./runner_obtainer.ts";
 
 /**
- * Time for which a runner's room is kept while the claim is written. A store
- * that does not answer would else fill runners with requests that do not run,
- * and have others beside them wait.
+ * Longest time for which a request reserves capacity at a runner while its
+ * claim is written. Without this limit, a table service that does not answer
+ * would fill runners with requests that do not run, and other requests would
+ * wait.
  */
-const LONGEST_RESERVATION_MILLISECONDS = 250;
+const MAX_RESERVATION_MILLISECONDS = 250;
 
-/** What keyed requests need of the rest of the entry. */
+/** The parts of an entry that keyed requests use. */
 export interface KeyedRequestsParameters {
   claims: claimStore.ClaimStore;
   runners: runnerDirectory.RunnerDirectory;
   lifeCycle: common.LifeCycle;
   logger: common.Logger;
   history: common.HistoryRecorder;
+  /** Host of this entry. */
   host: string;
+  /** Longest wait for a runner's answer about an attempt. */
   settleAfterMilliseconds: number;
   quarantine: quarantine.Quarantine;
   lostClaims: lostClaims.LostClaims;
 }
 
 /**
- * Requests that may not be repeated, under a key with which the caller may ask
- * again at any entry. At most one attempt at a time is named by the claim in
- * the table, and it is settled at its runner before another is named.
+ * Runs requests that may not be repeated but have an idempotency key, with
+ * which the caller may send them again at any entry. The claim in the table
+ * names at most one attempt at a time. An entry settles that attempt at its
+ * runner before it names another one, so that the request never runs twice.
  */
 export class KeyedRequests {
-  /** Requests under way here by claim key; a second one waits for the first. */
-  readonly #underWay = new Map<string, Promise<unknown>>();
-  readonly #outcomes: claimOutcomes.ClaimOutcomes;
+  /**
+   * Requests that run at this entry, by claim key. A second request with the
+   * same key waits for the first.
+   */
+  readonly #running = new Map<string, Promise<unknown>>();
+  readonly #recorder: outcomeRecorder.OutcomeRecorder;
   readonly #takeover: claimTakeover.ClaimTakeover;
 
   constructor(readonly parameters: KeyedRequestsParameters) {
-    this.#outcomes = new claimOutcomes.ClaimOutcomes(parameters);
-    const outcomes = this.#outcomes;
+    this.#recorder = new outcomeRecorder.OutcomeRecorder(parameters);
+    const recorder = this.#recorder;
     this.#takeover = new claimTakeover.ClaimTakeover({
       ...parameters,
-      outcomes,
+      recorder,
     });
   }
 
-  /** Runs a keyed request to its final result. */
+  /** Runs a keyed request and returns its final result. */
   async run(
-    owner: runnerObtainer.RunnerObtainer,
+    obtainer: runnerObtainer.RunnerObtainer,
     accepted: request.AcceptedRequest,
     sink: answerSink.AnswerSink,
   ): Promise<request.RequestResult> {
@@ -65,45 +72,45 @@
       accepted.idempotencyKey ?? "",
     );
     for (;;) {
-      const other = this.#underWay.get(key);
+      const other = this.#running.get(key);
       if (!other) break;
       const remaining = accepted.deadline - common.now();
-      const ended = await common.withTimeout(
+      const finished = await common.withTimeout(
         other.then(() => true),
         remaining,
       );
-      // Whether the other request has run by then is not known here.
-      if (!ended) {
-        const reason = "a request with this key is under way";
+      // The other request is not finished by the deadline and may have run.
+      if (!finished) {
+        const reason = "another request with this key is still running";
         return { kind: request.ResultKind.MayHaveRun, reason };
       }
     }
-    const running = this.#runClaimed(owner, accepted, sink, key);
-    const over = running.then(
+    const running = this.#runClaimed(obtainer, accepted, sink, key);
+    const completion = running.then(
       () => undefined,
       () => undefined,
     );
-    this.#underWay.set(key, over);
+    this.#running.set(key, completion);
     try {
       return await running;
     } finally {
-      this.#underWay.delete(key);
+      this.#running.delete(key);
     }
   }
 
   async #runClaimed(
-    owner: runnerObtainer.RunnerObtainer,
+    obtainer: runnerObtainer.RunnerObtainer,
     accepted: request.AcceptedRequest,
     sink: answerSink.AnswerSink,
     key: string,
   ): Promise<request.RequestResult> {
     const digest = digestOf(accepted);
     const excluded = new Set<string>();
-    let base: claimStore.HeldClaim | undefined;
+    let base: claimStore.StoredClaim | undefined;
     let failures = 0;
     for (let attempts = 1; ; attempts++) {
       const wasAdmitted = attempts > 1;
-      const obtained = await owner.obtainRunner(
+      const obtained = await obtainer.obtainRunner(
         accepted,
         excluded,
         wasAdmitted,
@@ -114,99 +121,109 @@
       const attempt = runner.newAttempt(identifier);
       if (!attempt) {
         reservation.release();
-        return owner.notRun(request.NotRunReason.NoRunner);
+        return obtainer.notRun(request.NotRunReason.NoRunner);
       }
       const release = () => reservation.release();
-      const held = setTimeout(release, LONGEST_RESERVATION_MILLISECONDS);
+      const reservationTimer = setTimeout(
+        release,
+        MAX_RESERVATION_MILLISECONDS,
+      );
       const written = await this.parameters.claims.write({
         key,
         claim: this.#newClaim(digest, runner, attempt),
         base,
       });
-      clearTimeout(held);
-      // Released here: nothing else runs before the dispatch counts instead.
+      clearTimeout(reservationTimer);
+      // From here on the dispatch itself counts. No other code runs in between.
       release();
       if (written.kind === "store-unavailable") {
-        // Nothing was sent, and without the claim nothing may be.
-        return owner.notRun(request.NotRunReason.StoreUnavailable);
+        // Nothing was sent, and nothing may be sent without a claim.
+        return obtainer.notRun(request.NotRunReason.StoreUnavailable);
       }
-      if (written.kind === "other") {
-        const { held } = written;
+      if (written.kind === "exists") {
+        const { stored } = written;
         const resolved = await this.#takeover.resolve(
           accepted,
           sink,
           key,
           digest,
-          held,
+          stored,
         );
         if (resolved.kind === "result") return resolved.result;
         base = resolved.base;
         continue;
       }
       const { lostClaims: lost } = this.parameters;
-      // The claim stays: it names an attempt that was not sent.
+      // If the lost claims are not known, the attempt is not sent. Its claim
+      // may stay: a later request learns from the runner that the attempt never
+      // ran.
       if (!(await lost.gather())) {
-        return owner.notRun(request.NotRunReason.StoreUnavailable);
+        return obtainer.notRun(request.NotRunReason.StoreUnavailable);
       }
-      const before = lost.find(key);
-      if (before && before.attempt.identifier !== attempt.identifier) {
-        const resolved = await this.#yieldTo(before, accepted, sink, {
+      const earlier = lost.find(key);
+      if (earlier && earlier.attempt.identifier !== attempt.identifier) {
+        const resolved = await this.#restoreEarlier(earlier, accepted, sink, {
           key,
           digest,
-          held: written.held,
+          stored: written.stored,
         });
         if (resolved.kind === "result") return resolved.result;
         base = resolved.base;
         continue;
       }
-      lost.remember(key, written.held.claim);
-      base = written.held;
-      const keeping = new keepingSink.KeepingSink(sink);
+      lost.remember(key, written.stored.claim);
+      base = written.stored;
+      const recording = new recordingSink.RecordingSink(sink);
       const claim = { key, digest };
       const sent = { ...accepted, identifier, limit, claim };
       const outgoing = runner.dispatch(attempt, sent);
       const { history, host, quarantine } = this.parameters;
       history.record({ kind: "dispatched", host, identifier });
-      const conducted = {
+      const followed = {
         runner,
         outgoing,
         accepted,
-        sink: keeping,
+        sink: recording,
         quarantine,
       };
-      const outcome = await conductAttempt.conductAttempt(conducted);
+      const outcome = await followAttempt.followAttempt(followed);
       if (outcome.kind === request.AttemptOutcomeKind.NeverStarted) {
         if (outcome.cause === request.NotStartedCause.Full) continue;
         excluded.add(runner.host.name);
-        if (owner.mayRetry(accepted, ++failures, outcome.cause)) continue;
-        return owner.notRun(request.NotRunReason.EngineUnavailable);
+        if (obtainer.permitRetry(accepted, ++failures, outcome.cause)) continue;
+        return obtainer.notRun(request.NotRunReason.EngineUnavailable);
       }
-      return this.#outcomes.conclude({
+      return this.#recorder.recordOutcome({
         key,
-        held: base,
+        stored: base,
         outcome,
-        keeping,
+        recording,
         runner,
       });
     }
   }
 
-  /** Puts a claim that the table had lost in place of a later one of this entry. */
-  async #yieldTo(
-    before: Omit<claimStore.Claim, "nonce">,
+  /**
+   * Writes a claim that the table had lost in place of the later one that this
+   * entry wrote for the same key, and resolves it.
+   */
+  async #restoreEarlier(
+    earlier: Omit<claimStore.Claim, "nonce">,
     accepted: request.AcceptedRequest,
     sink: answerSink.AnswerSink,
-    own: { key: string; digest: string; held: claimStore.HeldClaim },
-  ): Promise<claimTakeover.Resolution> {
-    const { key, digest, held: base } = own;
+    own: { key: string; digest: string; stored: claimStore.StoredClaim },
+  ): Promise<claimTakeover.ClaimResolution> {
+    const { key, digest, stored: base } = own;
     const { claims } = this.parameters;
-    const written = await claims.write({ key, claim: before, base });
+    const written = await claims.write({ key, claim: earlier, base });
     if (written.kind === "store-unavailable") {
-      const result = claimOutcomes.mayHaveRun("its claim was lost");
+      const result = outcomeRecorder.mayHaveRun(
+        "the claim of the earlier attempt was lost",
+      );
       return { kind: "result", result };
     }
-    const { held } = written;
-    return this.#takeover.resolve(accepted, sink, key, digest, held);
+    const { stored } = written;
+    return this.#takeover.resolve(accepted, sink, key, digest, stored);
   }
 
   #newClaim(
@@ -225,7 +242,7 @@
   }
 }
 
-/** Digest of what the caller asked for. */
+/** Digest of the service and the work that the caller asked for. */
 function digestOf(accepted: request.AcceptedRequest): string {
   const hash = crypto.createHash("sha256").update(accepted.service);
   const { work } = accepted;
--- a/packages/daemon/src/dispatch/lost_claims.ts
+++ b/packages/daemon/src/dispatch/lost_claims.ts
@@ -5,86 +5,101 @@
 import type * as runnerLink from "./runner_link.ts";
 
 /**
- * Time for which claims that were written here are kept, in milliseconds: the age that a
- * copy of the table has at most, and the outage before its return.
+ * Time for which this entry retains the claims that it wrote. It covers the
+ * greatest age of a copy from which the table is restored, and the outage
+ * before that.
  */
-const KEPT_MILLISECONDS = 30_000;
-/** Claims kept at most; each may have an answer of 64 KiB. */
-const MOST_KEPT = 500;
-/** Time for an upstream process to tell its claims. */
-const ANSWER_MILLISECONDS = 1_000;
+const RETENTION_MILLISECONDS = 30_000;
+/** Bounds the memory for retained claims; each may have an answer of 64 KiB. */
+const MAX_RETAINED_CLAIMS = 500;
+/** Time within which an upstream process must answer with its claims. */
+const ANSWER_TIMEOUT_MILLISECONDS = 1_000;
 /**
- * Time after the table's return for which no keyed request is run while some upstream
- * process has not told its claims, in milliseconds.
+ * Time after a restore of the table for which no keyed request runs while an
+ * upstream process has not yet reported its claims. After this time, keyed
+ * requests run without the missing reports.
  */
-const LONGEST_WAIT_MILLISECONDS = 10_000;
+const MAX_WAIT_MILLISECONDS = 10_000;
 
-/** What gathering claims needs. */
+/** The parts of an entry that `LostClaims` uses. */
 export interface LostClaimsParameters {
   claims: claimStore.ClaimStore;
   epoch: backingServices.TableEpoch;
   /** All runners that this entry sends requests to. */
   runners: () => runnerLink.RunnerLink[];
-  /** Whether it is for this entry to write a claim again. */
+  /** Whether this entry is the one that writes a lost claim again. */
   isOwner: (key: string) => boolean;
+  /** Host of this entry. */
   host: string;
 }
 
 /**
- * Claims that the table may have lost with its last seconds. A caller that asks again
- * under its key would find none, and a request that may not be repeated would run twice.
- * Those who know are the entries that wrote them and the processes beside the runners.
+ * Finds the claims that the table may have lost. A table that is restored from
+ * a copy lacks what was written in the last seconds before. If a claim were
+ * lost, a caller that repeats its request would find none, and a request that
+ * may not be repeated would run twice. The entry that wrote a claim retains it
+ * for some seconds, and the upstream process that received the attempt can
+ * report it.
  */
 export class LostClaims {
-  readonly #own = new Map<string, { claim: claimStore.Claim; at: number }>();
+  /** Claims that this entry wrote, and when, by claim key. */
+  readonly #written = new Map<
+    string,
+    { claim: claimStore.Claim; at: number }
+  >();
+  /** Claims that the table may lack, by claim key. */
   readonly #found = new Map<string, Omit<claimStore.Claim, "nonce">>();
-  /** Epoch of the table whose losses were gathered. */
-  #gatheredIn: number | undefined;
+  /** Epoch of the table for which all lost claims were gathered. */
+  #gatheredEpoch: number | undefined;
   #gathering: Promise<void> | undefined;
-  /** When the epoch was first seen here. */
-  #epochSeen = { number: -1, at: 0 };
+  /** When this entry first saw the table's epoch of this number. */
+  #epochFirstSeen = { number: -1, at: 0 };
 
   constructor(readonly parameters: LostClaimsParameters) {}
 
-  /** Keeps a claim that was written here. */
+  /** Retains a claim that this entry has written. */
   remember(key: string, claim: claimStore.Claim): void {
     const now = common.now();
-    this.#own.delete(key);
-    this.#own.set(key, { claim, at: now });
-    for (const [other, { at }] of this.#own) {
-      const isOld = now - at > KEPT_MILLISECONDS;
-      if (!isOld && this.#own.size <= MOST_KEPT) return;
-      this.#own.delete(other);
+    this.#written.delete(key);
+    this.#written.set(key, { claim, at: now });
+    for (const [other, { at }] of this.#written) {
+      const isOld = now - at > RETENTION_MILLISECONDS;
+      if (!isOld && this.#written.size <= MAX_RETAINED_CLAIMS) return;
+      this.#written.delete(other);
     }
   }
 
   /**
-   * Learns of all claims that the table's epoch may lack; false as long as somebody who
-   * may know has not answered.
+   * Gathers all claims that the table may have lost before its present epoch.
+   * Returns false while an upstream process that may know of some has not
+   * answered.
    */
   async gather(): Promise<boolean> {
     const { number } = this.parameters.epoch;
-    if (this.#gatheredIn === number) return true;
+    if (this.#gatheredEpoch === number) return true;
     this.#gathering ??= this.#gatherOnce().finally(() => {
       this.#gathering = undefined;
     });
     await this.#gathering;
-    return this.#gatheredIn === number;
+    return this.#gatheredEpoch === number;
   }
 
-  /** A claim that the table lost; `undefined` if none is known. */
+  /** The claim for a key among those gathered; `undefined` if there is none. */
   find(key: string): Omit<claimStore.Claim, "nonce"> | undefined {
     return this.#found.get(key);
   }
 
-  /** Writes again what was found and is not in the table; the number of claims. */
+  /**
+   * Writes the gathered claims that the table lacks and this entry owns.
+   * Returns how many it wrote.
+   */
   async restore(): Promise<number> {
     const { claims, isOwner } = this.parameters;
     let written = 0;
     for (const [key, claim] of this.#found) {
       if (!isOwner(key)) continue;
       const outcome = await claims.write({ key, claim, base: undefined });
-      if (outcome.kind === "held") written++;
+      if (outcome.kind === "written") written++;
     }
     return written;
   }
@@ -92,26 +107,27 @@
   async #gatherOnce(): Promise<void> {
     const { epoch, runners } = this.parameters;
     const { number, sawBegin } = epoch;
-    if (this.#epochSeen.number !== number) {
-      this.#epochSeen = { number, at: common.now() };
+    if (this.#epochFirstSeen.number !== number) {
+      this.#epochFirstSeen = { number, at: common.now() };
       this.#found.clear();
     }
     const answers = await Promise.all(
       runners().map(async (runner) => this.#ask(runner)),
     );
-    for (const [key, { claim }] of this.#own) this.#found.set(key, claim);
-    const allTold = answers.every((told) => told);
-    const waited = common.now() - this.#epochSeen.at;
-    const isEnough = !sawBegin || waited > LONGEST_WAIT_MILLISECONDS;
-    if (allTold || isEnough) this.#gatheredIn = number;
+    for (const [key, { claim }] of this.#written) this.#found.set(key, claim);
+    const allAnswered = answers.every((answered) => answered);
+    const waited = common.now() - this.#epochFirstSeen.at;
+    // An entry that started after the restore asks only once.
+    const mayProceed = !sawBegin || waited > MAX_WAIT_MILLISECONDS;
+    if (allAnswered || mayProceed) this.#gatheredEpoch = number;
   }
 
   async #ask(runner: runnerLink.RunnerLink): Promise<boolean> {
-    const told = await runner.readClaims(ANSWER_MILLISECONDS);
-    for (const { claim, attempt } of told ?? []) {
+    const answer = await runner.readClaims(ANSWER_TIMEOUT_MILLISECONDS);
+    for (const { claim, attempt } of answer ?? []) {
       this.#found.set(claim.key, this.#claimOf(runner, claim, attempt));
     }
-    return told !== undefined;
+    return answer !== undefined;
   }
 
   #claimOf(
--- /dev/null
+++ b/packages/daemon/src/dispatch/outcome_recorder.ts
@@ -0,0 +1,107 @@
+import * as common from "@geraniumkeel/common";
+import type * as answerSink from "./answer_sink.ts";
+import * as claimStore from "./claim_store.ts";
+import type * as recordingSink from "./recording_sink.ts";
+import * as request from "./request.ts";
+import type * as runnerLink from "./runner_link.ts";
+
+/**
+ * Records the outcomes of attempts in their claims, so that a repeated request
+ * with the same idempotency key can be answered, and turns each outcome into
+ * the result for the caller.
+ */
+export class OutcomeRecorder {
+  constructor(
+    readonly parameters: {
+      claims: claimStore.ClaimStore;
+      lifeCycle: common.LifeCycle;
+    },
+  ) {}
+
+  /**
+   * Returns the caller's result at once and writes a final outcome to the claim
+   * in the background.
+   */
+  recordOutcome(parameters: {
+    key: string;
+    stored: claimStore.StoredClaim;
+    outcome: request.AttemptOutcome;
+    recording: recordingSink.RecordingSink;
+    runner: runnerLink.RunnerLink;
+  }): request.RequestResult {
+    const { key, stored, outcome, recording, runner } = parameters;
+    const { attempt } = stored.claim;
+    switch (outcome.kind) {
+      case request.AttemptOutcomeKind.Complete: {
+        const answer = recording.answer;
+        const state = claimStore.ClaimState.Settled;
+        // The caller's answer does not wait for this write: until it is done, a
+        // repeated request collects the answer from the runner.
+        this.parameters.lifeCycle.run("settle", async () => {
+          const written = await this.changeClaim(key, stored, {
+            state,
+            answer,
+          });
+          if (written) runner.close(attempt, true);
+        });
+        const { finishReason, promptTokens } = outcome;
+        const kind = request.ResultKind.Complete;
+        const { name } = runner.host;
+        return { kind, finishReason, promptTokens, runner: name };
+      }
+      case request.AttemptOutcomeKind.Broken: {
+        const state = claimStore.ClaimState.Unsettled;
+        this.parameters.lifeCycle.run("settle", async () => {
+          await this.changeClaim(key, stored, { state });
+        });
+        return unfinishedResult(recording, outcome.reason);
+      }
+      case request.AttemptOutcomeKind.Unsettled:
+        // The claim stays in the state `Claimed`: once the runner is reachable
+        // again, it can still report the outcome.
+        return unfinishedResult(recording, outcome.reason);
+      case request.AttemptOutcomeKind.Deadline:
+        return unfinishedResult(recording, "the deadline passed");
+      case request.AttemptOutcomeKind.Quarantined:
+        return unfinishedResult(recording, "the request was put in quarantine");
+      case request.AttemptOutcomeKind.CallerGone:
+      case request.AttemptOutcomeKind.NeverStarted:
+        return { kind: request.ResultKind.CallerGone };
+    }
+  }
+
+  /**
+   * Changes a claim. Returns false if another entry has changed it since it was
+   * read or written here, or if the table service does not answer.
+   */
+  async changeClaim(
+    key: string,
+    stored: claimStore.StoredClaim,
+    change: Pick<claimStore.Claim, "state" | "answer">,
+  ): Promise<boolean> {
+    const claim = { ...stored.claim, ...change };
+    const written = await this.parameters.claims.write({
+      key,
+      claim,
+      base: stored,
+    });
+    return written.kind === "written";
+  }
+}
+
+/** Result of a request that may have run or not. */
+export function mayHaveRun(reason: string): request.RequestResult {
+  return { kind: request.ResultKind.MayHaveRun, reason };
+}
+
+/**
+ * Result of a request whose answer will not be completed: `Incomplete` if the
+ * caller has received part of it, otherwise `MayHaveRun`.
+ */
+export function unfinishedResult(
+  sink: answerSink.AnswerSink,
+  reason: string,
+): request.RequestResult {
+  if (sink.delivered) return { kind: request.ResultKind.Incomplete, reason };
+  return mayHaveRun(reason);
+}
--- a/packages/daemon/src/dispatch/retry_budget.ts
+++ b/packages/daemon/src/dispatch/retry_budget.ts
@@ -1,42 +1,48 @@
-/** How many repeats a budget pays for. */
-export interface RetryBudgetShape {
-  /** Repeats earned by each first attempt. */
+/** How many retries a budget allows. */
+export interface RetryBudgetParameters {
+  /** Retries that each first attempt adds to the budget. */
   earnedPerRequest: number;
-  /** Repeats at hand at most, and at first for a service with little traffic. */
-  largestBalance: number;
+  /** Most retries that the budget accumulates. */
+  maxBalance: number;
+  /** Retries available at the start, for services with little traffic. */
   initialBalance: number;
 }
 
-/** A tenth of the traffic, with a little at hand for services with few calls. */
-const USUAL_SHAPE: RetryBudgetShape = {
+/**
+ * Allows retries for a tenth of the traffic, and a few for services with few
+ * calls.
+ */
+const DEFAULT_PARAMETERS: RetryBudgetParameters = {
   earnedPerRequest: 0.1,
-  largestBalance: 50,
+  maxBalance: 50,
   initialBalance: 10,
 };
 
 /**
- * Pays for attempts after the first out of a share of the traffic: when much
- * fails at once, unlimited retries would multiply the load that made it fail.
+ * Limits retries to a share of the traffic. When many requests fail at once,
+ * unlimited retries would multiply the load that made them fail.
  */
 export class RetryBudget {
   #balance: number;
 
-  constructor(readonly shape: RetryBudgetShape = USUAL_SHAPE) {
-    this.#balance = shape.initialBalance;
+  constructor(readonly parameters: RetryBudgetParameters = DEFAULT_PARAMETERS) {
+    this.#balance = parameters.initialBalance;
   }
 
-  /** Retries that could be paid now. */
+  /** Number of retries that the budget allows now; may be a fraction. */
   get balance(): number {
     return this.#balance;
   }
 
-  /** A first attempt was made. */
+  /** Adds to the budget for a first attempt. */
   earn(): void {
-    const next = this.#balance + this.shape.earnedPerRequest;
-    this.#balance = Math.min(next, this.shape.largestBalance);
+    const next = this.#balance + this.parameters.earnedPerRequest;
+    this.#balance = Math.min(next, this.parameters.maxBalance);
   }
 
-  /** Pays for one retry; false when the budget is spent. */
+  /**
+   * Takes one retry from the budget; returns false if less than one is left.
+   */
   spend(): boolean {
     if (this.#balance < 1) return false;
     this.#balance -= 1;
--- a/packages/daemon/src/dispatch/runner_directory.ts
+++ b/packages/daemon/src/dispatch/runner_directory.ts
@@ -4,21 +4,28 @@
 import * as runnerLink from "./runner_link.ts";
 import * as subscription from "./subscription.ts";
 
-/** A runner with what ends its task. */
-interface KnownRunner {
+/** A runner that this entry links to. */
+interface SubscribedRunner {
   link: runnerLink.RunnerLink;
+  /** Stops the task that maintains the link. */
   stop: AbortController;
-  /** When the list first lacked it, by this process's clock. */
+  /**
+   * When the host list first lacked the runner, by this process's clock;
+   * `undefined` while the list has it.
+   */
   unlistedAt: number | undefined;
 }
 
 /**
- * The runners this entry subscribes to. A runner that the list calls leaving,
- * or no longer names, gets no new work, and is forgotten when nothing is open.
+ * The runners that this entry subscribes to: it links to them and may send them
+ * requests. A runner that the host list calls leaving or no longer contains
+ * gets no new work. The directory removes a runner that the list has lacked for
+ * some time, once it has no open attempts.
  */
 export class RunnerDirectory {
+  /** Announces that the directory has applied the host list. */
   readonly changed = new common.ChangeNotice();
-  readonly #runners = new Map<string, KnownRunner>();
+  readonly #runners = new Map<string, SubscribedRunner>();
 
   constructor(
     readonly parameters: {
@@ -38,17 +45,19 @@
     return this.all.filter((runner) => runner.host.service === service);
   }
 
-  /** Runners that said they are of a group. */
+  /** Runners that reported to be ranks of a group. */
   ofGroup(group: string): runnerLink.RunnerLink[] {
     return this.all.filter((runner) => runner.hello?.group === group);
   }
 
-  /** Runner on a host. */
+  /**
+   * The runner on a host; `undefined` if this entry does not subscribe to it.
+   */
   get(host: string): runnerLink.RunnerLink | undefined {
     return this.#runners.get(host)?.link;
   }
 
-  /** Follows the host list until the signal aborts. */
+  /** Applies each change of the host list until the signal aborts. */
   async run(signal: AbortSignal): Promise<void> {
     const { hosts } = this.parameters;
     while (!signal.aborted) {
@@ -74,7 +83,7 @@
         continue;
       }
       if (runner.link.attempts.size > 0) continue;
-      if (!moved && this.#mayComeBack(runner)) continue;
+      if (!moved && this.#mayBeListedAgain(runner)) continue;
       runner.stop.abort();
       this.#runners.delete(name);
     }
@@ -86,11 +95,14 @@
   }
 
   /**
-   * The list lags, and a read may be older than the last one. A rank dropped for
-   * that, in the middle of a switch, would have its whole group hold until the
-   * list names it again; its link tells better whether it is there.
+   * Whether the host list may soon contain a runner again that it lacks now.
+   * The list lags, and a read may return an older list than the one before. If
+   * the directory removed a rank for that reason during a switch of the expert
+   * map, all ranks of its group would hold until the list contains the rank
+   * again. An open link is a better sign that the runner is still there, so a
+   * linked runner stays until the list has lacked it for the time `goneAfter`.
    */
-  #mayComeBack(runner: KnownRunner): boolean {
+  #mayBeListedAgain(runner: SubscribedRunner): boolean {
     runner.unlistedAt ??= common.now();
     const { goneAfter } = this.parameters.link.settings.timing;
     const unlisted = common.now() - runner.unlistedAt;
@@ -101,7 +113,9 @@
     const link = new runnerLink.RunnerLink(host, this.parameters.link);
     const stop = new AbortController();
     this.#runners.set(host.name, { link, stop, unlistedAt: undefined });
-    const both = AbortSignal.any([signal, stop.signal]);
-    this.parameters.lifeCycle.run(`runner ${host.name}`, () => link.run(both));
+    const stopped = AbortSignal.any([signal, stop.signal]);
+    this.parameters.lifeCycle.run(`runner ${host.name}`, () =>
+      link.run(stopped),
+    );
   }
 }
--- a/packages/daemon/src/dispatch/subscription.ts
+++ b/packages/daemon/src/dispatch/subscription.ts
@@ -1,10 +1,13 @@
 import * as common from "@geraniumkeel/common";
 import type * as backingServices from "@geraniumkeel/backing_services";
 
-/** Runners of one service that an entry links to at least, if there are as many. */
-export const SUBSCRIBED_RUNNERS = 128;
+/**
+ * Runners of each service that an entry links to at least, if there are as
+ * many.
+ */
+export const MIN_SUBSCRIBED_RUNNERS = 128;
 
-/** Where an entry stands. */
+/** The host of an entry, with its data centre and region. */
 export interface Position {
   host: string;
   place: string;
@@ -12,10 +15,12 @@
 }
 
 /**
- * The runners an entry links to. Whole groups are taken, as a request is placed
- * by the step time of all ranks of a group; nearest groups first, and among
- * equally near ones by rendezvous hashing, so that entries spread evenly and a
- * change of hosts moves few links. Links grow with the subset and not with
+ * Chooses the runners that an entry links to and returns them by host name. For
+ * each service it adds complete groups until it has enough runners, because
+ * routing places a request by the iteration times of all ranks of a group. It
+ * prefers near groups, and orders equally near ones by rendezvous hashing, so
+ * that entries spread evenly over groups and a change of hosts moves few links.
+ * The number of links therefore grows with the size of the subset and not with
  * entries × runners.
  */
 export function chooseRunners(parameters: {
@@ -30,41 +35,45 @@
     services.set(host.service, hosts);
   }
   for (const hosts of services.values()) {
-    let taken = 0;
-    for (const unit of unitsInOrder(parameters.self, hosts)) {
-      if (taken >= SUBSCRIBED_RUNNERS) break;
-      for (const host of unit) chosen.set(host.name, host);
-      taken += unit.length;
+    let chosenCount = 0;
+    for (const group of groupsInOrder(parameters.self, hosts)) {
+      if (chosenCount >= MIN_SUBSCRIBED_RUNNERS) break;
+      for (const host of group) chosen.set(host.name, host);
+      chosenCount += group.length;
     }
   }
   return chosen;
 }
 
-function unitsInOrder(
+/**
+ * Groups of hosts in the order in which an entry prefers them. A host without a
+ * group forms one of its own.
+ */
+function groupsInOrder(
   self: Position,
   hosts: backingServices.Host[],
 ): backingServices.Host[][] {
-  const units = new Map<string, backingServices.Host[]>();
+  const groups = new Map<string, backingServices.Host[]>();
   for (const host of hosts) {
     const name = host.group || host.name;
-    const unit = units.get(name) ?? [];
-    unit.push(host);
-    units.set(name, unit);
+    const group = groups.get(name) ?? [];
+    group.push(host);
+    groups.set(name, group);
   }
-  return [...units]
-    .map(([name, unit]) => ({
-      unit,
-      distance: distanceClass(self, unit[0]),
+  return [...groups]
+    .map(([name, group]) => ({
+      group,
+      distance: distanceClass(self, group[0]),
       score: common.hash32(`${self.host} ${name}`),
     }))
     .sort(
       (left, right) =>
         left.distance - right.distance || left.score - right.score,
     )
-    .map(({ unit }) => unit);
+    .map(({ group }) => group);
 }
 
-/** 0 for the same place, 1 for the same region, 2 beyond. */
+/** 0 for the same data centre, 1 for the same region, 2 for another region. */
 export function distanceClass(
   self: Position,
   host: { place: string; region: string },
