--- a/packages/daemon/src/configuration/configuration_keeper.ts
+++ b/packages/daemon/src/configuration/configuration_holder.ts
@@ -15,11 +15,11 @@
  * The configuration in force in this process. Its revision only grows: a stale
  * answer of the store or of a peer would otherwise undo an accepted change.
  */
-export class ConfigurationKeeper {
+export class ConfigurationHolder {
   readonly changed = new common.ChangeNotice();
   #view: configuration.ConfigurationView | undefined;
   /** Highest revision heard of, in force or not. */
-  #heard = 0;
+  #highestKnownRevision = 0;
 
   constructor(
     readonly parameters: {
@@ -41,31 +41,33 @@
 
   /** Whether another process is known to have a newer revision. */
   get behind(): boolean {
-    return this.#heard > this.revision;
+    return this.#highestKnownRevision > this.revision;
   }
 
   /** Notes a revision named by a peer or the store. */
-  hear(revision: number): void {
-    this.#heard = Math.max(this.#heard, revision);
+  noteRevision(revision: number): void {
+    this.#highestKnownRevision = Math.max(this.#highestKnownRevision, revision);
   }
 
   /** Section revisions held, to ask only for the others. */
-  held(): Record<string, number> {
+  sectionRevisions(): Record<string, number> {
     return this.#view?.head.sections ?? {};
   }
 
   /** What a process that holds `held` lacks. */
-  missingFor(held: Record<string, number>): wire.SectionPush[] {
+  sectionsMissingFor(
+    sectionRevisions: Record<string, number>,
+  ): wire.SectionPush[] {
     const view = this.#view;
     if (!view) return [];
     return Object.entries(view.head.sections)
-      .filter(([name, revision]) => held[name] !== revision)
+      .filter(([name, revision]) => sectionRevisions[name] !== revision)
       .map(([name, revision]) => ({ name, revision, text: view.texts[name] }));
   }
 
   /** Puts a committed configuration in force if it is newer. */
   adopt(head: configuration.Head, pushed: wire.SectionPush[]): AdoptOutcome {
-    this.hear(head.revision);
+    this.noteRevision(head.revision);
     if (head.revision <= this.revision) {
       if (head.revision < this.revision) this.#reportStale(head.revision);
       return AdoptOutcome.Old;
@@ -87,8 +89,8 @@
   ): configuration.Sections | undefined {
     const texts: configuration.Sections = {};
     for (const [name, revision] of Object.entries(head.sections)) {
-      const held = this.held()[name] === revision;
-      const text = held
+      const isUnchanged = this.sectionRevisions()[name] === revision;
+      const text = isUnchanged
         ? this.#view?.texts[name]
         : pushed.find((one) => one.name === name && one.revision === revision)
             ?.text;
@@ -98,9 +100,9 @@
     return texts;
   }
 
-  #reportStale(heard: number): void {
+  #reportStale(revision: number): void {
     const inForce = this.revision;
     const code = common.EventCode.ConfigurationStale;
-    this.parameters.logger.event(code, { heard, inForce });
+    this.parameters.logger.event(code, { heard: revision, inForce });
   }
 }
--- a/packages/daemon/src/configuration/configuration_store.ts
+++ b/packages/daemon/src/configuration/configuration_store.ts
@@ -10,9 +10,9 @@
  * seconds that it has lost, and are in force: a change under one of their numbers would
  * never come into force where they are. Fewer than this fit into those seconds.
  */
-const LOST_REVISIONS = 10_000;
+const SKIPPED_REVISIONS = 10_000;
 /** Replaced sections kept, for readers that still hold an older head. */
-const KEPT_REPLACED_SECTIONS = 64;
+const MAX_REPLACED_SECTIONS = 64;
 
 /** A section row that a later revision replaced. */
 interface ReplacedSection {
@@ -53,7 +53,7 @@
     readonly parameters: {
       table: backingServices.TableService;
       random: common.Random;
-      patienceMilliseconds: number;
+      timeoutMilliseconds: number;
     },
   ) {}
 
@@ -76,7 +76,7 @@
    */
   async readSections(
     head: configuration.Head,
-    held: Record<string, number>,
+    sectionRevisions: Record<string, number>,
   ): Promise<
     neverthrow.Result<
       wire.SectionPush[] | undefined,
@@ -85,7 +85,7 @@
   > {
     const sections: wire.SectionPush[] = [];
     for (const [name, revision] of Object.entries(head.sections)) {
-      if (held[name] === revision) continue;
+      if (sectionRevisions[name] === revision) continue;
       const row = await this.parameters.table.get(sectionKey(name, revision));
       if (row.isErr()) return neverthrow.err(row.error);
       if (!row.value) return neverthrow.ok(undefined);
@@ -124,7 +124,7 @@
     const outcome = await backingServices.writeDefinitely({
       table: this.parameters.table,
       write: { transaction, decidingKey: HEAD_KEY, nonce },
-      timeoutMilliseconds: this.parameters.patienceMilliseconds,
+      timeoutMilliseconds: this.parameters.timeoutMilliseconds,
       random: this.parameters.random,
       signal: parameters.signal,
     });
@@ -181,7 +181,7 @@
 ): number {
   const last = Math.max(base?.head.revision ?? 0, inForce);
   const mayBeLost = base ? base.head.epoch !== epoch : last > 0;
-  return last + 1 + (mayBeLost ? LOST_REVISIONS : 0);
+  return last + 1 + (mayBeLost ? SKIPPED_REVISIONS : 0);
 }
 
 function nextHead(parameters: {
@@ -210,7 +210,7 @@
   texts: configuration.Sections;
 }): { transaction: backingServices.Transaction; stored: StoredHead } {
   const { base, head, changed, texts } = parameters;
-  const surplus = Math.max(0, head.replaced.length - KEPT_REPLACED_SECTIONS);
+  const surplus = Math.max(0, head.replaced.length - MAX_REPLACED_SECTIONS);
   const dropped = head.replaced.slice(0, surplus);
   const stored = { ...head, replaced: head.replaced.slice(surplus) };
   const condition = backingServices.atRevision(HEAD_KEY, base?.rowRevision);
--- a/packages/daemon/src/configuration/restore_configuration.ts
+++ b/packages/daemon/src/configuration/restore_configuration.ts
@@ -1,5 +1,5 @@
 import * as configuration from "@geraniumkeel/configuration";
-import type * as configurationKeeper from "./configuration_keeper.ts";
+import type * as configurationHolder from "./configuration_holder.ts";
 import type * as configurationStore from "./configuration_store.ts";
 
 /**
@@ -8,38 +8,49 @@
  * moment meets a conflict, or wins and is taken by all.
  */
 export async function restoreConfiguration(parameters: {
-  keeper: configurationKeeper.ConfigurationKeeper;
+  currentConfiguration: configurationHolder.ConfigurationHolder;
   store: configurationStore.ConfigurationStore;
   base: configurationStore.ReadHead | undefined;
 }): Promise<boolean> {
-  const { keeper, store, base } = parameters;
-  const { view } = keeper;
+  const {
+    currentConfiguration: currentConfiguration,
+    store,
+    base,
+  } = parameters;
+  const { view } = currentConfiguration;
   if (!view) return false;
   const baseTexts = await textsOf(parameters);
   if (!baseTexts) return false;
   const { texts, head } = view;
   const document = configuration.joinDocument(texts, head.presetInForce);
-  const inForce = keeper.revision;
+  const inForce = currentConfiguration.revision;
   const outcome = await store.commit({ base, baseTexts, document, inForce });
   if (outcome.kind !== "committed") return false;
-  keeper.adopt(outcome.head, outcome.sections);
+  currentConfiguration.adopt(outcome.head, outcome.sections);
   return true;
 }
 
 /** Section texts of the table's head; `undefined` if they cannot be read. */
 async function textsOf(parameters: {
-  keeper: configurationKeeper.ConfigurationKeeper;
+  currentConfiguration: configurationHolder.ConfigurationHolder;
   store: configurationStore.ConfigurationStore;
   base: configurationStore.ReadHead | undefined;
 }): Promise<configuration.Sections | undefined> {
-  const { keeper, store, base } = parameters;
+  const {
+    currentConfiguration: currentConfiguration,
+    store,
+    base,
+  } = parameters;
   if (!base) return {};
-  const held = keeper.held();
-  const read = await store.readSections(base.head, held);
+  const ownRevisions = currentConfiguration.sectionRevisions();
+  const read = await store.readSections(base.head, ownRevisions);
   if (read.isErr() || !read.value) return undefined;
   const texts: configuration.Sections = {};
   for (const [name, revision] of Object.entries(base.head.sections)) {
-    const own = held[name] === revision ? keeper.view?.texts[name] : undefined;
+    const own =
+      ownRevisions[name] === revision
+        ? currentConfiguration.view?.texts[name]
+        : undefined;
     const text = own ?? read.value.find((one) => one.name === name)?.text;
     if (text !== undefined) texts[name] = text;
   }
--- a/packages/daemon/src/entry/create_context.ts
+++ b/packages/daemon/src/entry/create_context.ts
@@ -4,8 +4,8 @@
 import * as accountLimits from "../admission/account_limits.ts";
 import * as serviceQueue from "../admission/service_queue.ts";
 import * as surgeReserve from "../admission/surge_reserve.ts";
-import * as configurationKeeper from "../configuration/configuration_keeper.ts";
-import * as copiedHead from "../configuration/copied_head.ts";
+import * as configurationHolder from "../configuration/configuration_holder.ts";
+import * as copiedHeadPolicy from "../configuration/copied_head_policy.ts";
 import * as configurationStore from "../configuration/configuration_store.ts";
 import type * as runnerObtainer from "../dispatch/runner_obtainer.ts";
 import * as claimStore from "../dispatch/claim_store.ts";
@@ -54,7 +54,7 @@
   const random = new common.Random(common.processSeed());
   const incarnation = common.randomIdentifier();
   const { host, place, region, timing } = settings;
-  const keeper = new configurationKeeper.ConfigurationKeeper({
+  const keeper = new configurationHolder.ConfigurationHolder({
     logger,
     history,
     host,
@@ -77,7 +77,7 @@
     random,
     members,
     hosts,
-    keeper,
+    currentConfiguration: keeper,
     certificateAuthority,
     onMessage: (from, _link, message) =>
       parameters.onPeerMessage(from, message),
@@ -136,7 +136,7 @@
   const router = new routerModule.Router({ runners, position, random, logger });
   const freshness = new freshnessModule.Freshness({
     isolatedAfterMilliseconds: timing.isolatedAfter,
-    lastPeerAt: () => peers.lastHeardAt,
+    lastPeerAt: () => peers.lastReceivedAt,
     hasPeers: () => members.present.length > 1,
     logger,
   });
@@ -212,11 +212,11 @@
     store: new configurationStore.ConfigurationStore({
       table: parameters.table,
       random,
-      patienceMilliseconds: timing.storePatience,
+      timeoutMilliseconds: timing.storePatience,
     }),
-    copiedHead: new copiedHead.CopiedHead({
+    copiedHead: new copiedHeadPolicy.CopiedHeadPolicy({
       epoch: parameters.table.epoch,
-      keeper,
+      currentConfiguration: keeper,
       isOwner: () => owns("configuration"),
     }),
     claims,
--- a/packages/daemon/src/entry/drain_entry.ts
+++ b/packages/daemon/src/entry/drain_entry.ts
@@ -21,7 +21,7 @@
   const { settings, members, logger, dispatcher, lifeCycle } = context;
   const { drainNotice, drainTimeout } = settings.timing;
   logger.event(common.EventCode.DrainStarted);
-  members.describeSelf({ state: wire.MemberState.Draining });
+  members.updateSelf({ state: wire.MemberState.Draining });
   await common.sleep(drainNotice, lifeCycle.signal);
   context.draining = true;
   const deadline = common.now() + drainTimeout;
--- a/packages/daemon/src/entry/start_entry.ts
+++ b/packages/daemon/src/entry/start_entry.ts
@@ -148,13 +148,13 @@
   lifeCycle.run("coordinators", (signal) => context.coordinators.run(signal));
   lifeCycle.run("configuration", (signal) =>
     configurationSync.syncWithStore({
-      keeper,
+      currentConfiguration: keeper,
       store,
       copiedHead: context.copiedHead,
       logger,
       random,
       periodMilliseconds: settings.timing.configurationPoll,
-      entries: () => members.present.length,
+      entryCount: () => members.present.length,
       onAnswer: () => freshness.hearStore(),
       signal,
     }),
--- a/packages/daemon/src/expert_map/coordinators.ts
+++ b/packages/daemon/src/expert_map/coordinators.ts
@@ -1,7 +1,7 @@
 import * as common from "@geraniumkeel/common";
 import * as configuration from "@geraniumkeel/configuration";
 import type * as backingServices from "@geraniumkeel/backing_services";
-import type * as configurationKeeper from "../configuration/configuration_keeper.ts";
+import type * as configurationHolder from "../configuration/configuration_holder.ts";
 import type * as runnerDirectory from "../dispatch/runner_directory.ts";
 import type * as runnerLink from "../dispatch/runner_link.ts";
 import * as groupPorts from "./group_ports.ts";
@@ -21,7 +21,7 @@
   lifeCycle: common.LifeCycle;
   logger: common.Logger;
   history: common.HistoryRecorder;
-  keeper: configurationKeeper.ConfigurationKeeper;
+  keeper: configurationHolder.ConfigurationHolder;
   runners: runnerDirectory.RunnerDirectory;
   /** Host names of all live entries, including this one. */
   entries: () => string[];
--- a/packages/daemon/src/gateway/gateway.ts
+++ b/packages/daemon/src/gateway/gateway.ts
@@ -100,7 +100,7 @@
       host: self.host,
       entries: () => this.mesh.readyMembers().map(({ host }) => host),
       versionsOf: (service) => this.board.versionsOf(service),
-      send: (message, except) => this.mesh.tell(message, except),
+      send: (message, except) => this.mesh.broadcast(message, except),
       relays: false,
       onReportedCrash: (life, endedAt) =>
         this.endWatch.applyReportedCrash(life, endedAt),
@@ -148,8 +148,8 @@
       outstanding: () => this.board.ownCounts(),
       onOutstanding: (host, counts) => this.board.setOthers(host, counts),
       suspicions: {
-        take: (message, host) => this.quarantine.receive(message, host),
-        everything: () => this.quarantine.initialMessage(),
+        receive: (message, host) => this.quarantine.receive(message, host),
+        initialMessage: () => this.quarantine.initialMessage(),
       },
       random,
       logger,
@@ -308,7 +308,7 @@
   /** Lowest version of the configuration at an entry that takes requests. */
   #servedVersion(): number | undefined {
     const versions = this.mesh
-      .others()
+      .peers()
       .flatMap(({ beat }) => (beat?.ready ? [beat.configuration.version] : []));
     return versions.length > 0 ? Math.min(...versions) : undefined;
   }
--- a/packages/daemon/src/membership/host_view.ts
+++ b/packages/daemon/src/membership/host_view.ts
@@ -45,8 +45,11 @@
   async run(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
       await this.refresh();
-      const share = (this.#bytes * 1_000) / READ_BYTES_PER_SECOND;
-      const period = Math.max(this.parameters.periodMilliseconds, share);
+      const minimumPeriod = (this.#bytes * 1_000) / READ_BYTES_PER_SECOND;
+      const period = Math.max(
+        this.parameters.periodMilliseconds,
+        minimumPeriod,
+      );
       await common.sleep(period, signal);
     }
   }
@@ -81,7 +84,7 @@
     let changed = false;
     for (const [name, host] of hosts) {
       const known = before.get(name);
-      if (!known) this.#noteAppearance(name);
+      if (!known) this.#recordAppearance(name);
       if (JSON.stringify(known) !== JSON.stringify(host)) changed = true;
     }
     for (const name of before.keys()) {
@@ -93,7 +96,7 @@
     if (changed) this.changed.announce();
   }
 
-  #noteAppearance(name: string): void {
+  #recordAppearance(name: string): void {
     this.#appearedAt.set(name, common.now());
     const code = common.EventCode.HostAppeared;
     this.parameters.logger.event(code, { peer: name });
--- a/packages/daemon/src/membership/in_force_acks.ts
+++ b/packages/daemon/src/membership/in_force_acks.ts
@@ -37,13 +37,13 @@
     this.#revision = revision;
     this.#parent = parent;
     this.parameters.members.noteRevision(revision);
-    this.#tellAll();
+    this.#queueAll();
   }
 
   /** A host is known to have a revision in force. */
   confirm(host: string, revision: number): void {
-    const news = this.parameters.members.learnRevision(host, revision);
-    if (!news || revision < this.#revision) return;
+    const isNew = this.parameters.members.learnRevision(host, revision);
+    if (!isNew || revision < this.#revision) return;
     this.#unsent.add(host);
     this.#changed.announce();
   }
@@ -62,10 +62,10 @@
     if (revision !== this.#revision || parent === undefined) return;
     if (this.#parent !== undefined) return;
     this.#parent = parent;
-    this.#tellAll();
+    this.#queueAll();
   }
 
-  #tellAll(): void {
+  #queueAll(): void {
     const { members } = this.parameters;
     this.#unsent = new Set(
       members.present
--- a/packages/daemon/src/membership/member_table.ts
+++ b/packages/daemon/src/membership/member_table.ts
@@ -2,10 +2,10 @@
 import * as wire from "@geraniumkeel/wire";
 
 /** Time for which a member that is gone is remembered. */
-const GONE_RETENTION_MILLISECONDS = 120_000;
+const DEPARTED_RETENTION_MILLISECONDS = 120_000;
 
 /** A member and when this process last changed its record. */
-interface Entry {
+interface StoredRecord {
   member: wire.Member;
   changedAt: number;
 }
@@ -17,9 +17,9 @@
  */
 export class MemberTable {
   readonly changed = new common.ChangeNotice();
-  readonly #entries = new Map<string, Entry>();
+  readonly #records = new Map<string, StoredRecord>();
   /** Hosts whose record changed since `takeChanges`. */
-  readonly #dirty = new Set<string>();
+  readonly #changedHosts = new Set<string>();
   #self: wire.Member;
 
   constructor(
@@ -46,7 +46,7 @@
 
   /** All records, this process's included. */
   get all(): wire.Member[] {
-    return [...this.#entries.values()].map(({ member }) => member);
+    return [...this.#records.values()].map(({ member }) => member);
   }
 
   /** Members that are not gone, this process included. */
@@ -61,7 +61,7 @@
 
   /** Record of one host. */
   get(host: string): wire.Member | undefined {
-    return this.#entries.get(host)?.member;
+    return this.#records.get(host)?.member;
   }
 
   /**
@@ -78,7 +78,7 @@
   }
 
   /** Changes what this process says of itself. */
-  describeSelf(change: Partial<Pick<wire.Member, "state" | "weight">>): void {
+  updateSelf(change: Partial<Pick<wire.Member, "state" | "weight">>): void {
     const counter = this.#self.counter + 1;
     this.#self = { ...this.#self, ...change, counter };
     this.#set(this.#self);
@@ -90,7 +90,7 @@
    */
   noteRevision(revision: number): void {
     this.#self = { ...this.#self, revision };
-    this.#entries.set(this.#self.host, {
+    this.#records.set(this.#self.host, {
       member: this.#self,
       changedAt: this.clock(),
     });
@@ -99,7 +99,7 @@
 
   /** Notes a revision that a member has; returns whether it was news. */
   learnRevision(host: string, revision: number): boolean {
-    const entry = this.#entries.get(host);
+    const entry = this.#records.get(host);
     if (!entry || entry.member.revision >= revision) return false;
     entry.member = { ...entry.member, revision };
     this.changed.announce();
@@ -107,68 +107,71 @@
   }
 
   /** Takes in a record heard from a peer; returns whether it was news. */
-  merge(heard: wire.Member): boolean {
-    if (heard.host === this.#self.host) return this.#answerRumour(heard);
-    const known = this.#entries.get(heard.host)?.member;
-    if (known && !isNewer(heard, known)) return false;
-    const same = known?.incarnation === heard.incarnation;
+  merge(received: wire.Member): boolean {
+    if (received.host === this.#self.host) return this.#refuteRecord(received);
+    const known = this.#records.get(received.host)?.member;
+    if (known && !isNewer(received, known)) return false;
+    const same = known?.incarnation === received.incarnation;
     const revision = same
-      ? Math.max(known.revision, heard.revision)
-      : heard.revision;
-    this.#set({ ...heard, revision });
+      ? Math.max(known.revision, received.revision)
+      : received.revision;
+    this.#set({ ...received, revision });
     return true;
   }
 
   /** Notes that a member does not answer; it may refute. */
   suspect(host: string): void {
-    const known = this.#entries.get(host)?.member;
+    const known = this.#records.get(host)?.member;
     if (known && known.state < wire.MemberState.Suspect) {
       this.#set({ ...known, state: wire.MemberState.Suspect });
     }
   }
 
   /** Turns suspicions that nobody refuted into departures. */
-  expire(goneAfterMilliseconds: number): void {
+  expire(departedAfterMilliseconds: number): void {
     const now = this.clock();
-    for (const [host, { member, changedAt }] of this.#entries) {
+    for (const [host, { member, changedAt }] of this.#records) {
       const age = now - changedAt;
       if (member.state === wire.MemberState.Suspect) {
-        if (age < goneAfterMilliseconds) continue;
+        if (age < departedAfterMilliseconds) continue;
         this.#set({ ...member, state: wire.MemberState.Gone });
       } else if (member.state === wire.MemberState.Gone) {
-        if (age > GONE_RETENTION_MILLISECONDS) this.#entries.delete(host);
+        if (age > DEPARTED_RETENTION_MILLISECONDS) this.#records.delete(host);
       }
     }
   }
 
   /** Records changed since the last call. */
   takeChanges(): wire.Member[] {
-    const changes = [...this.#dirty].flatMap((host) => this.get(host) ?? []);
-    this.#dirty.clear();
+    const changes = [...this.#changedHosts].flatMap(
+      (host) => this.get(host) ?? [],
+    );
+    this.#changedHosts.clear();
     return changes;
   }
 
   /** A rumour about this process itself is answered by a higher counter. */
-  #answerRumour(heard: wire.Member): boolean {
-    if (heard.counter < this.#self.counter) return false;
+  #refuteRecord(received: wire.Member): boolean {
+    if (received.counter < this.#self.counter) return false;
     const same =
-      heard.counter === this.#self.counter &&
-      heard.state === this.#self.state &&
-      heard.incarnation === this.#self.incarnation;
+      received.counter === this.#self.counter &&
+      received.state === this.#self.state &&
+      received.incarnation === this.#self.incarnation;
     if (same) return false;
-    this.#self = { ...this.#self, counter: heard.counter + 1 };
+    this.#self = { ...this.#self, counter: received.counter + 1 };
     this.#set(this.#self);
     return true;
   }
 
   #set(member: wire.Member): void {
-    this.#entries.set(member.host, { member, changedAt: this.clock() });
-    this.#dirty.add(member.host);
+    this.#records.set(member.host, { member, changedAt: this.clock() });
+    this.#changedHosts.add(member.host);
     this.changed.announce();
   }
 }
 
-function isNewer(heard: wire.Member, known: wire.Member): boolean {
-  if (heard.counter !== known.counter) return heard.counter > known.counter;
-  return heard.state > known.state;
+function isNewer(received: wire.Member, known: wire.Member): boolean {
+  if (received.counter !== known.counter)
+    return received.counter > known.counter;
+  return received.state > known.state;
 }
--- a/packages/daemon/src/membership/overlay.ts
+++ b/packages/daemon/src/membership/overlay.ts
@@ -14,13 +14,13 @@
   if (hosts.length <= FULL_MESH_LIMIT) return new Set(others);
   const ring = [...new Set([...others, self])].sort(byHash);
   const position = ring.indexOf(self);
-  const chosen = new Set<string>();
+  const selected = new Set<string>();
   for (let distance = 1; distance < ring.length; distance *= 2) {
-    chosen.add(ring[(position + distance) % ring.length]);
-    chosen.add(ring[(position - distance + ring.length) % ring.length]);
+    selected.add(ring[(position + distance) % ring.length]);
+    selected.add(ring[(position - distance + ring.length) % ring.length]);
   }
-  chosen.delete(self);
-  return chosen;
+  selected.delete(self);
+  return selected;
 }
 
 function byHash(left: string, right: string): number {
--- a/packages/daemon/src/membership/overlay_test.ts
+++ b/packages/daemon/src/membership/overlay_test.ts
@@ -10,18 +10,18 @@
 /** Hops that news needs from one host to all, by breadth-first search. */
 function hopsFrom(start: string, all: string[]): number {
   const seen = new Set([start]);
-  let edge = [start];
+  let frontier = [start];
   let hops = 0;
-  while (seen.size < all.length && edge.length > 0) {
+  while (seen.size < all.length && frontier.length > 0) {
     const next: string[] = [];
-    for (const host of edge) {
+    for (const host of frontier) {
       for (const other of overlay.neighbours(host, all)) {
         if (seen.has(other)) continue;
         seen.add(other);
         next.push(other);
       }
     }
-    edge = next;
+    frontier = next;
     hops++;
   }
   return seen.size === all.length ? hops : Infinity;
--- a/packages/daemon/src/membership/peer_links.ts
+++ b/packages/daemon/src/membership/peer_links.ts
@@ -1,7 +1,7 @@
 import * as common from "@geraniumkeel/common";
 import * as backingServices from "@geraniumkeel/backing_services";
 import * as wire from "@geraniumkeel/wire";
-import * as configurationKeeper from "../configuration/configuration_keeper.ts";
+import * as configurationHolder from "../configuration/configuration_holder.ts";
 import * as entryHello from "../entry/entry_hello.ts";
 import * as listenModule from "../settings/listen.ts";
 import type * as settingsModule from "../settings/settings.ts";
@@ -12,18 +12,18 @@
 
 /** Delay before the higher-named end dials, which normally waits to be dialled. */
 const SECOND_DIALLER_DELAY_MILLISECONDS = 1_500;
-const FIRST_PAUSE_MILLISECONDS = 50;
-const LONGEST_PAUSE_MILLISECONDS = 2_000;
+const MIN_PAUSE_MILLISECONDS = 50;
+const MAX_PAUSE_MILLISECONDS = 2_000;
 /** Changes heard within this time are passed on in one message. */
 const GOSSIP_BATCH_MILLISECONDS = 10;
 /** Comparing members with one peer repairs whatever gossip missed. */
-const COMPARE_MILLISECONDS = 30_000;
-const EXPIRE_LOOK_MILLISECONDS = 250;
+const COMPARE_INTERVAL_MILLISECONDS = 30_000;
+const EXPIRY_CHECK_MILLISECONDS = 250;
 /** An on-demand link without use is closed after this time. */
-const IDLE_LINK_MILLISECONDS = 60_000;
+const MAX_IDLE_MILLISECONDS = 60_000;
 
 /** Time after which a push that had no effect is repeated. */
-const PUSH_AGAIN_MILLISECONDS = 1_000;
+const PUSH_RETRY_MILLISECONDS = 1_000;
 
 /** What the links to peers need. */
 export interface PeerLinksParameters {
@@ -35,7 +35,7 @@
   random: common.Random;
   members: memberTable.MemberTable;
   hosts: hostView.HostView;
-  keeper: configurationKeeper.ConfigurationKeeper;
+  currentConfiguration: configurationHolder.ConfigurationHolder;
   certificateAuthority: string | undefined;
   /** Handles messages of other slices. */
   onMessage: (host: string, link: wire.Link, message: wire.Message) => void;
@@ -56,11 +56,11 @@
 export class PeerLinks {
   readonly #peers = new Map<string, Peer>();
   /** Dialling tasks by host. */
-  readonly #dialling = new Map<string, AbortController>();
-  readonly #changed = new common.ChangeNotice();
+  readonly #dialTasks = new Map<string, AbortController>();
+  readonly #linksChanged = new common.ChangeNotice();
   #linkNumber = 0;
   /** When anything was last heard of any peer. */
-  lastHeardAt = common.now();
+  lastReceivedAt = common.now();
 
   /** Acknowledgements of the revision in force. */
   readonly acks: inForceAcks.InForceAcks;
@@ -90,7 +90,7 @@
     lifeCycle.run("acknowledge", (signal) => this.acks.run(signal));
     lifeCycle.run("gossip", (signal) => this.#gossip(signal));
     lifeCycle.run("compare", (signal) => this.#compareRepeatedly(signal));
-    lifeCycle.every(EXPIRE_LOOK_MILLISECONDS, () =>
+    lifeCycle.every(EXPIRY_CHECK_MILLISECONDS, () =>
       members.expire(settings.timing.goneAfter),
     );
   }
@@ -123,7 +123,7 @@
     const opened = await this.#dial(host);
     if (!opened) return false;
     this.parameters.lifeCycle.run("on-demand", () => this.#serve(opened));
-    await this.#changed.until({
+    await this.#linksChanged.until({
       condition: () => this.#peers.has(host),
       timeoutMilliseconds: this.parameters.settings.timing.connectTimeout,
     });
@@ -137,12 +137,12 @@
 
   #pushTo(host: string): void {
     const peer = this.#peers.get(host);
-    const view = this.parameters.keeper.view;
+    const view = this.parameters.currentConfiguration.view;
     if (!peer || !view || peer.revision >= view.head.revision) return;
     const known = peer.revision;
     // What the peer holds is told by its revision: every section changed since.
-    const sections = this.parameters.keeper
-      .missingFor({})
+    const sections = this.parameters.currentConfiguration
+      .sectionsMissingFor({})
       .filter((section) => section.revision > known);
     peer.revision = view.head.revision;
     peer.pushedAt = common.now();
@@ -155,17 +155,17 @@
     const { members, hosts, lifeCycle } = this.parameters;
     while (!signal.aborted) {
       const wanted = this.#wanted();
-      for (const [host, task] of this.#dialling) {
+      for (const [host, task] of this.#dialTasks) {
         if (wanted.has(host)) continue;
         task.abort();
-        this.#dialling.delete(host);
+        this.#dialTasks.delete(host);
       }
       for (const host of wanted) {
-        if (this.#dialling.has(host)) continue;
+        if (this.#dialTasks.has(host)) continue;
         const task = new AbortController();
-        this.#dialling.set(host, task);
+        this.#dialTasks.set(host, task);
         const both = AbortSignal.any([signal, task.signal]);
-        lifeCycle.run(`dial ${host}`, () => this.#keepLinked(host, both));
+        lifeCycle.run(`dial ${host}`, () => this.#maintainLink(host, both));
       }
       await Promise.race([
         members.changed.next(1_000, signal),
@@ -184,11 +184,11 @@
   }
 
   /** One task per neighbour: keeps a link to it while it is wanted. */
-  async #keepLinked(host: string, signal: AbortSignal): Promise<void> {
+  async #maintainLink(host: string, signal: AbortSignal): Promise<void> {
     const { settings, members, random } = this.parameters;
     const backOff = new common.BackOff({
-      firstMilliseconds: FIRST_PAUSE_MILLISECONDS,
-      longestMilliseconds: LONGEST_PAUSE_MILLISECONDS,
+      firstMilliseconds: MIN_PAUSE_MILLISECONDS,
+      longestMilliseconds: MAX_PAUSE_MILLISECONDS,
       random,
     });
     let lastLinkedAt = common.now();
@@ -202,7 +202,7 @@
       if (peer) {
         lastLinkedAt = common.now();
         backOff.reset();
-        await this.#changed.next(1_000, signal);
+        await this.#linksChanged.next(1_000, signal);
         continue;
       }
       const link = await this.#dial(host);
@@ -219,7 +219,13 @@
   }
 
   async #dial(host: string): Promise<wire.Link | undefined> {
-    const { members, hosts, settings, keeper, logger } = this.parameters;
+    const {
+      members,
+      hosts,
+      settings,
+      currentConfiguration: currentConfiguration,
+      logger,
+    } = this.parameters;
     const member = members.get(host);
     const base = member?.peerUrl ?? hosts.hosts.get(host)?.linkUrl;
     if (!base) return undefined;
@@ -227,7 +233,10 @@
       url: listenModule.linkUrl(base),
       key: settings.processKey,
       timing: settings.timing,
-      heartbeat: () => ({ clock: common.now(), revision: keeper.revision }),
+      heartbeat: () => ({
+        clock: common.now(),
+        revision: currentConfiguration.revision,
+      }),
       certificateAuthority: this.parameters.certificateAuthority,
     });
     if (dialled.isOk()) return dialled.value;
@@ -238,11 +247,17 @@
   }
 
   async #serve(link: wire.Link): Promise<void> {
-    const { settings, keeper, incarnation, members, logger } = this.parameters;
+    const {
+      settings,
+      currentConfiguration: currentConfiguration,
+      incarnation,
+      members,
+      logger,
+    } = this.parameters;
     link.closeOn(this.parameters.lifeCycle.signal);
     this.#linkNumber++;
     const linkNumber = this.#linkNumber;
-    const revision = keeper.revision;
+    const revision = currentConfiguration.revision;
     const own = { settings, incarnation, linkNumber, revision };
     link.send(entryHello.entryHello(own));
     const hello = await link.receive();
@@ -256,13 +271,13 @@
       pushedAt: -Infinity,
     };
     this.#peers.set(host, peer);
-    this.#hear(host, hello.revision);
+    this.#noteRevision(host, hello.revision);
     // Configuration goes over neighbours' links, so they are looked after in
     // full; there are many more partners in lending, who can wait.
-    link.isBusy = () => this.#dialling.has(host);
-    link.onHeartbeat = (beat) => this.#hear(host, beat.revision);
+    link.isBusy = () => this.#dialTasks.has(host);
+    link.onHeartbeat = (beat) => this.#noteRevision(host, beat.revision);
     logger.event(common.EventCode.LinkEstablished, { peer: host });
-    this.#changed.announce();
+    this.#linksChanged.announce();
     // A process that starts is known to nobody, and knows nobody.
     link.send({ kind: wire.MessageKind.Members, members: [members.self] });
     this.#compareMembers(link);
@@ -270,15 +285,15 @@
     this.parameters.onLinked(host);
     for await (const message of link.messages()) {
       if (link.end !== undefined) break;
-      this.lastHeardAt = common.now();
+      this.lastReceivedAt = common.now();
       this.#handle(host, link, message);
     }
     if (this.#peers.get(host) === peer) this.#peers.delete(host);
-    this.#reportEnd(host, link);
-    this.#changed.announce();
+    this.#reportClosed(host, link);
+    this.#linksChanged.announce();
   }
 
-  #reportEnd(host: string, link: wire.Link): void {
+  #reportClosed(host: string, link: wire.Link): void {
     const { logger, metrics, lifeCycle } = this.parameters;
     if (lifeCycle.closing || link.end === wire.LinkEnd.Replaced) return;
     const silent = link.end === wire.LinkEnd.Silent;
@@ -290,26 +305,27 @@
   }
 
   /** A peer with a newer revision than ours is asked for it. */
-  #hear(host: string, revision: number): void {
-    const { keeper } = this.parameters;
-    this.lastHeardAt = common.now();
+  #noteRevision(host: string, revision: number): void {
+    const { currentConfiguration: currentConfiguration } = this.parameters;
+    this.lastReceivedAt = common.now();
     const peer = this.#peers.get(host);
     if (peer) peer.revision = Math.max(peer.revision, revision);
-    keeper.hear(revision);
+    currentConfiguration.noteRevision(revision);
     this.acks.confirm(host, revision);
-    if (revision > keeper.revision) {
+    if (revision > currentConfiguration.revision) {
       const kind = wire.MessageKind.ConfigurationRequest;
-      peer?.link.send({ kind, held: keeper.held() });
-    } else if (revision < keeper.revision && peer) {
+      peer?.link.send({ kind, held: currentConfiguration.sectionRevisions() });
+    } else if (revision < currentConfiguration.revision && peer) {
       // A heartbeat may have crossed the push; one still old later did not.
       const age = common.now() - peer.pushedAt;
-      if (age > PUSH_AGAIN_MILLISECONDS) peer.revision = revision;
+      if (age > PUSH_RETRY_MILLISECONDS) peer.revision = revision;
       this.#pushTo(host);
     }
   }
 
   #handle(host: string, link: wire.Link, message: wire.Message): void {
-    const { members, keeper } = this.parameters;
+    const { members, currentConfiguration: currentConfiguration } =
+      this.parameters;
     switch (message.kind) {
       case wire.MessageKind.Members:
         for (const member of message.members) members.merge(member);
@@ -323,14 +339,17 @@
         const { head, sections } = message;
         const peer = this.#peers.get(host);
         if (peer) peer.revision = Math.max(peer.revision, head.revision);
-        const outcome = keeper.adopt(head, sections);
+        const outcome = currentConfiguration.adopt(head, sections);
         this.acks.confirm(host, head.revision);
-        if (head.revision === keeper.revision) {
+        if (head.revision === currentConfiguration.revision) {
           this.acks.begin(head.revision, host);
         }
-        if (outcome !== configurationKeeper.AdoptOutcome.Incomplete) return;
+        if (outcome !== configurationHolder.AdoptOutcome.Incomplete) return;
         const kind = wire.MessageKind.ConfigurationRequest;
-        return link.send({ kind, held: keeper.held() });
+        return link.send({
+          kind,
+          held: currentConfiguration.sectionRevisions(),
+        });
       }
       case wire.MessageKind.InForce:
         for (const one of message.hosts) {
@@ -338,9 +357,9 @@
         }
         return;
       case wire.MessageKind.ConfigurationRequest: {
-        const { view } = keeper;
+        const { view } = currentConfiguration;
         if (!view) return;
-        const sections = keeper.missingFor(message.held);
+        const sections = currentConfiguration.sectionsMissingFor(message.held);
         const kind = wire.MessageKind.ConfigurationPush;
         return link.send({ kind, head: view.head, sections });
       }
@@ -376,7 +395,7 @@
   async #compareRepeatedly(signal: AbortSignal): Promise<void> {
     const { random } = this.parameters;
     while (!signal.aborted) {
-      await common.sleep(COMPARE_MILLISECONDS, signal);
+      await common.sleep(COMPARE_INTERVAL_MILLISECONDS, signal);
       if (this.#peers.size === 0) continue;
       this.#compareMembers(random.pick([...this.#peers.values()]).link);
       this.#closeIdle();
@@ -385,9 +404,9 @@
 
   /** Ends on-demand links that are no neighbour's and carry nothing. */
   #closeIdle(): void {
-    const oldest = common.now() - IDLE_LINK_MILLISECONDS;
+    const oldest = common.now() - MAX_IDLE_MILLISECONDS;
     for (const [host, { link }] of this.#peers) {
-      if (this.#dialling.has(host)) continue;
+      if (this.#dialTasks.has(host)) continue;
       if (link.lastUsedAt < oldest) link.close();
     }
   }
--- a/packages/daemon/src/mesh/document_exchange.ts
+++ b/packages/daemon/src/mesh/document_exchange.ts
@@ -2,10 +2,10 @@
 import type * as traffic from "@geraniumkeel/traffic";
 import * as wire from "@geraniumkeel/wire";
 import type * as meshPeer from "./mesh_peer.ts";
-import type * as stampClock from "./stamp_clock.ts";
+import type * as heartbeatClockModule from "./heartbeat_clock.ts";
 
 /** Time after which a push that had no effect is repeated. */
-const PUSH_AGAIN_MILLISECONDS = 400;
+const PUSH_RETRY_MILLISECONDS = 400;
 
 /**
  * Time for which an entry leaves a document that it has from a peer to that peer to
@@ -14,7 +14,7 @@
  * sender does not reach has it this much and one beat later, 0.8 s, where two to three
  * seconds are promised.
  */
-const RELAY_MILLISECONDS = 500;
+const RELAY_DELAY_MILLISECONDS = 500;
 
 /** Documents that entries exchange, by the names that logs give them. */
 enum DocumentName {
@@ -23,7 +23,7 @@
 }
 
 /** A document as it is sent. */
-interface PackedVersion {
+interface CachedDocument {
   document: traffic.Versioned;
   bytes: wire.PackedDocument;
 }
@@ -32,7 +32,7 @@
 export interface DocumentExchangeParameters {
   configuration: traffic.ProvenValue<traffic.TrafficConfiguration>;
   runners: traffic.ProvenValue<traffic.RunnerList>;
-  stamps: stampClock.StampClock;
+  heartbeatClock: heartbeatClockModule.HeartbeatClock;
   logger: common.Logger;
 }
 
@@ -44,12 +44,12 @@
 export class DocumentExchange {
   /** Versions that a peer sent, and when they may be sent on. */
   readonly #relays = new Map<DocumentName, { version: number; at: number }>();
-  readonly #packed = new Map<DocumentName, PackedVersion>();
+  readonly #packed = new Map<DocumentName, CachedDocument>();
 
   constructor(readonly parameters: DocumentExchangeParameters) {}
 
   /** Version and age of the proof of each document, for the next beat. */
-  proofs(): Pick<wire.MeshBeat, "configuration" | "runners"> {
+  proofs(): Pick<wire.MeshHeartbeat, "configuration" | "runners"> {
     const { configuration, runners } = this.parameters;
     return {
       configuration: proofOf(configuration),
@@ -58,43 +58,51 @@
   }
 
   /** Takes the proofs of a peer's beat. */
-  takeProofs(beat: wire.MeshBeat): void {
+  receiveProofs(heartbeat: wire.MeshHeartbeat): void {
     const { configuration, runners } = this.parameters;
-    this.#takeProof(configuration, beat, beat.configuration);
-    this.#takeProof(runners, beat, beat.runners);
+    this.#receiveProof(configuration, heartbeat, heartbeat.configuration);
+    this.#receiveProof(runners, heartbeat, heartbeat.runners);
   }
 
   /** Takes a document from a peer if it is newer than the one held. */
-  take(
+  receive(
     message: wire.MeshConfiguration | wire.MeshRunners,
     peer: meshPeer.MeshPeer,
   ): void {
     const { configuration, runners } = this.parameters;
     switch (message.kind) {
       case wire.MessageKind.MeshConfiguration:
-        return this.#takeDocument(
+        return this.#receiveDocument(
           DocumentName.Configuration,
           configuration,
           message,
           peer,
         );
       case wire.MessageKind.MeshRunners:
-        return this.#takeDocument(DocumentName.Runners, runners, message, peer);
+        return this.#receiveDocument(
+          DocumentName.Runners,
+          runners,
+          message,
+          peer,
+        );
     }
   }
 
-  #takeDocument<T extends traffic.Versioned>(
+  #receiveDocument<T extends traffic.Versioned>(
     name: DocumentName,
-    held: traffic.ProvenValue<T>,
+    local: traffic.ProvenValue<T>,
     message: { version: number; packed: wire.PackedDocument },
     peer: meshPeer.MeshPeer,
   ): void {
-    if (message.version <= held.version) return;
+    if (message.version <= local.version) return;
     const unpacked = wire.unpackDocument<T>(message.packed);
     if (unpacked.isErr()) return peer.link.close(wire.LinkEnd.Unreadable);
     const { version } = message;
-    this.#relays.set(name, { version, at: common.now() + RELAY_MILLISECONDS });
-    if (!held.offer(unpacked.value)) return;
+    this.#relays.set(name, {
+      version,
+      at: common.now() + RELAY_DELAY_MILLISECONDS,
+    });
+    if (!local.offer(unpacked.value)) return;
     const code = common.EventCode.DocumentInForce;
     const from = peer.member.host;
     this.parameters.logger.event(code, { document: name, version, from });
@@ -103,19 +111,19 @@
   /** Sends a peer what it is seen to lack. */
   pushNewer(peer: meshPeer.MeshPeer): void {
     const { configuration, runners } = this.parameters;
-    const told = peer.beat;
-    if (!told) return;
+    const heartbeat = peer.heartbeat;
+    if (!heartbeat) return;
     this.#push(peer, {
       name: DocumentName.Configuration,
       kind: wire.MessageKind.MeshConfiguration,
-      held: configuration,
-      toldVersion: told.configuration.version,
+      local: configuration,
+      peerVersion: heartbeat.configuration.version,
     });
     this.#push(peer, {
       name: DocumentName.Runners,
       kind: wire.MessageKind.MeshRunners,
-      held: runners,
-      toldVersion: told.runners.version,
+      local: runners,
+      peerVersion: heartbeat.runners.version,
     });
   }
 
@@ -124,16 +132,16 @@
     document: {
       name: DocumentName;
       kind: wire.MeshConfiguration["kind"] | wire.MeshRunners["kind"];
-      held: traffic.ProvenValue<T>;
-      toldVersion: number;
+      local: traffic.ProvenValue<T>;
+      peerVersion: number;
     },
   ): void {
-    const { name, kind, held, toldVersion } = document;
-    const { value, version } = held;
-    if (!value || toldVersion >= version) return;
+    const { name, kind, local: local, peerVersion: peerVersion } = document;
+    const { value, version } = local;
+    if (!value || peerVersion >= version) return;
     const relay = this.#relays.get(name);
     if (relay?.version === version && common.now() < relay.at) return;
-    if (!peer.mayPush(name, PUSH_AGAIN_MILLISECONDS)) return;
+    if (!peer.allowPush(name, PUSH_RETRY_MILLISECONDS)) return;
     const packed = this.#packedOf(name, value);
     peer.link.send({ kind, version, packed });
   }
@@ -143,31 +151,31 @@
     name: DocumentName,
     document: traffic.Versioned,
   ): wire.PackedDocument {
-    const known = this.#packed.get(name);
-    if (known?.document === document) return known.bytes;
+    const cached = this.#packed.get(name);
+    if (cached?.document === document) return cached.bytes;
     const bytes = wire.packDocument(document);
     this.#packed.set(name, { document, bytes });
     return bytes;
   }
 
-  #takeProof<T extends traffic.Versioned>(
-    held: traffic.ProvenValue<T>,
-    beat: wire.MeshBeat,
+  #receiveProof<T extends traffic.Versioned>(
+    local: traffic.ProvenValue<T>,
+    heartbeat: wire.MeshHeartbeat,
     proof: wire.MeshProof,
   ): void {
-    const { echoedStamp, echoedAge } = beat;
-    const at = this.parameters.stamps.provenAt({
+    const { echoedStamp, echoedAge } = heartbeat;
+    const at = this.parameters.heartbeatClock.provenAt({
       echoedStamp,
       echoedAge,
       factAge: proof.age,
     });
-    if (at) held.prove(proof.version, at);
+    if (at) local.prove(proof.version, at);
   }
 }
 
 function proofOf<T extends traffic.Versioned>(
-  held: traffic.ProvenValue<T>,
+  local: traffic.ProvenValue<T>,
 ): wire.MeshProof {
-  const { version, age } = held;
+  const { version, age } = local;
   return { version, age: Number.isFinite(age) ? age : -1 };
 }
--- a/packages/daemon/src/mesh/document_exchange_test.ts
+++ b/packages/daemon/src/mesh/document_exchange_test.ts
@@ -4,7 +4,7 @@
 import * as wire from "@geraniumkeel/wire";
 import * as documentExchange from "./document_exchange.ts";
 import * as meshPeer from "./mesh_peer.ts";
-import * as stampClock from "./stamp_clock.ts";
+import * as heartbeatClockModule from "./heartbeat_clock.ts";
 
 const test = ava.default;
 
@@ -28,7 +28,7 @@
   const exchange = new documentExchange.DocumentExchange({
     configuration,
     runners: new traffic.ProvenValue<traffic.RunnerList>(),
-    stamps: new stampClock.StampClock(),
+    heartbeatClock: new heartbeatClockModule.HeartbeatClock(),
     logger: { event: () => {} },
   });
   return { exchange, configuration };
@@ -51,7 +51,7 @@
   peer.receive({
     configuration: proof,
     runners: { version: 0, age: 0 },
-  } as wire.MeshBeat);
+  } as wire.MeshHeartbeat);
   return { peer, sent };
 }
 
@@ -74,7 +74,7 @@
   source.configuration.offer(configurationOf(4));
   source.exchange.pushNewer(peer);
   const { peer: from } = createPeer(4);
-  receiver.exchange.take(sent[0], from);
+  receiver.exchange.receive(sent[0], from);
   t.is(receiver.configuration.version, 4);
   const third = createPeer(3);
   receiver.exchange.pushNewer(third.peer);
@@ -98,7 +98,7 @@
   const first = createPeer(3);
   source.configuration.offer(configurationOf(4));
   source.exchange.pushNewer(first.peer);
-  receiver.exchange.take(first.sent[0], createPeer(4).peer);
+  receiver.exchange.receive(first.sent[0], createPeer(4).peer);
   receiver.configuration.offer(configurationOf(5));
   const third = createPeer(3);
   receiver.exchange.pushNewer(third.peer);
@@ -112,6 +112,6 @@
   source.configuration.offer(configurationOf(4));
   source.exchange.pushNewer(first.peer);
   receiver.configuration.offer(configurationOf(6));
-  receiver.exchange.take(first.sent[0], createPeer(4).peer);
+  receiver.exchange.receive(first.sent[0], createPeer(4).peer);
   t.is(receiver.configuration.version, 6);
 });
--- a/packages/daemon/src/mesh/entry_mesh.ts
+++ b/packages/daemon/src/mesh/entry_mesh.ts
@@ -7,12 +7,12 @@
 import * as documentExchange from "./document_exchange.ts";
 import type * as memberRows from "./member_rows.ts";
 import * as meshPeer from "./mesh_peer.ts";
-import * as stampClock from "./stamp_clock.ts";
+import * as heartbeatClockModule from "./heartbeat_clock.ts";
 
 /** Time between two beats, in milliseconds: the lag of counts between entries. */
-const BEAT_MILLISECONDS = 300;
+const HEARTBEAT_INTERVAL_MILLISECONDS = 300;
 /** Silence after which callers are no longer sent to an entry. */
-const UNHEARD_MILLISECONDS = 1_000;
+const MAX_HEARTBEAT_AGE_MILLISECONDS = 1_000;
 /** Silence after which a link is replaced, here and between ranks. */
 export const LINK_TIMING: wire.LinkTiming = {
   heartbeat: 500,
@@ -20,21 +20,21 @@
   connectTimeout: 500,
 };
 /** Pauses between attempts to open a link. */
-const FIRST_PAUSE_MILLISECONDS = 100;
-const LONGEST_PAUSE_MILLISECONDS = 1_000;
+const MIN_PAUSE_MILLISECONDS = 100;
+const MAX_PAUSE_MILLISECONDS = 1_000;
 /** Delay before the end that normally waits to be dialled dials itself. */
 const SECOND_DIALLER_DELAY_MILLISECONDS = 400;
 /** Time without any word after which an entry is taken for gone for good. */
-const FORGET_MILLISECONDS = 60_000;
+const FORGET_AFTER_MILLISECONDS = 60_000;
 /** How often it is looked whether the table came back, if nothing is announced. */
-const EPOCH_LOOK_MILLISECONDS = 5_000;
+const EPOCH_CHECK_MILLISECONDS = 5_000;
 /** Pause before the store is asked again for the other entries. */
-const REGISTER_PAUSE_MILLISECONDS = 500;
+const REGISTER_RETRY_MILLISECONDS = 500;
 /**
  * Word by which processes of one system know each other. The hosts' settings
  * hold no secret; it keeps out strays, not attackers.
  */
-export const LINK_WORD = "geraniumkeel";
+export const LINK_KEY = "geraniumkeel";
 
 /** What the mesh of entries needs. */
 export interface EntryMeshParameters {
@@ -55,9 +55,9 @@
   ) => void;
   /** What is told of requests that may end their runners. */
   suspicions: {
-    take: (message: wire.Suspicions, host: string) => void;
+    receive: (message: wire.Suspicions, host: string) => void;
     /** For an entry that was just linked; `undefined` if there are none. */
-    everything: () => wire.Suspicions | undefined;
+    initialMessage: () => wire.Suspicions | undefined;
   };
   random: common.Random;
   logger: common.Logger;
@@ -67,7 +67,7 @@
 /** An entry that is known, linked or not. */
 interface KnownMember {
   member: wire.MeshMember;
-  heardAt: number;
+  lastReceivedAt: number;
   /** Revision of its row; `undefined` if it was not read from the store. */
   revision: backingServices.Revision | undefined;
   dialling: AbortController;
@@ -81,19 +81,19 @@
  */
 export class EntryMesh {
   readonly #known = new Map<string, KnownMember>();
-  readonly #peers = new Map<string, meshPeer.MeshPeer>();
-  readonly #stamps = new stampClock.StampClock();
+  readonly #linked = new Map<string, meshPeer.MeshPeer>();
+  readonly #heartbeatClock = new heartbeatClockModule.HeartbeatClock();
   readonly #documents: documentExchange.DocumentExchange;
-  readonly #changed = new common.ChangeNotice();
+  readonly #linksChanged = new common.ChangeNotice();
   #leaving = false;
   /** Revision of the own row, once it is certain. */
   #ownRevision: backingServices.Revision | undefined;
 
   constructor(readonly parameters: EntryMeshParameters) {
-    const stamps = this.#stamps;
+    const heartbeatClock = this.#heartbeatClock;
     this.#documents = new documentExchange.DocumentExchange({
       ...parameters,
-      stamps,
+      heartbeatClock: heartbeatClock,
     });
   }
 
@@ -103,17 +103,19 @@
     const accepting = wire.acceptLinks({
       server,
       path: listenModule.LINK_PATH,
-      key: LINK_WORD,
+      key: LINK_KEY,
       timing: LINK_TIMING,
-      heartbeat: noHeartbeat,
+      heartbeat: emptyHeartbeat,
       onLink: (link) => {
         lifeCycle.run("peer", (signal) => this.#serve(link, signal));
       },
     });
     lifeCycle.own({ name: "links", close: () => accepting.close() });
-    lifeCycle.every(BEAT_MILLISECONDS, () => this.#beat());
+    lifeCycle.every(HEARTBEAT_INTERVAL_MILLISECONDS, () =>
+      this.#sendHeartbeats(),
+    );
     lifeCycle.run("register", (signal) => this.#register(signal));
-    lifeCycle.run("seeds", (signal) => this.#greetSeeds(signal));
+    lifeCycle.run("seeds", (signal) => this.#dialSeeds(signal));
     lifeCycle.run("push-configuration", (signal) =>
       this.#pushChanges(configuration.changes, signal),
     );
@@ -126,8 +128,9 @@
   readyMembers(): wire.MeshMember[] {
     const { self, ready } = this.parameters;
     const members = ready() && !this.#leaving ? [self] : [];
-    for (const peer of this.#peers.values()) {
-      if (this.#heard(peer) && peer.beat?.ready) members.push(peer.member);
+    for (const peer of this.#linked.values()) {
+      if (this.#isReachable(peer) && peer.heartbeat?.ready)
+        members.push(peer.member);
     }
     return members;
   }
@@ -141,11 +144,12 @@
   }
 
   /** All other entries, each with its last beat if it is heard. */
-  others(): { member: wire.MeshMember; beat: wire.MeshBeat | undefined }[] {
+  peers(): { member: wire.MeshMember; beat: wire.MeshHeartbeat | undefined }[] {
     return [...this.#known.values()].map(({ member }) => {
-      const peer = this.#peers.get(member.host);
-      const beat = peer && this.#heard(peer) ? peer.beat : undefined;
-      return { member, beat };
+      const peer = this.#linked.get(member.host);
+      const heartbeat =
+        peer && this.#isReachable(peer) ? peer.heartbeat : undefined;
+      return { member, beat: heartbeat };
     });
   }
 
@@ -161,17 +165,17 @@
   followPlace(): number {
     const { self, storeReachable } = this.parameters;
     const hosts = storeReachable() ? [self.host] : [];
-    for (const peer of this.#peers.values()) {
-      if (!this.#heard(peer) || !peer.beat?.storeReachable) continue;
-      if (!peer.beat.leaving) hosts.push(peer.member.host);
+    for (const peer of this.#linked.values()) {
+      if (!this.#isReachable(peer) || !peer.heartbeat?.storeReachable) continue;
+      if (!peer.heartbeat.leaving) hosts.push(peer.member.host);
     }
     const place = common.rendezvousOrder("follow", hosts).indexOf(self.host);
     return place < 0 ? hosts.length : place;
   }
 
   /** Sends a message to all linked entries but one. */
-  tell(message: wire.Message, except?: string): void {
-    for (const [host, peer] of this.#peers) {
+  broadcast(message: wire.Message, except?: string): void {
+    for (const [host, peer] of this.#linked) {
       if (host !== except) peer.link.send(message);
     }
   }
@@ -180,7 +184,7 @@
   async leave(): Promise<void> {
     const { rows, self } = this.parameters;
     this.#leaving = true;
-    this.#beat();
+    this.#sendHeartbeats();
     if (this.#ownRevision) await rows.remove(self.host, this.#ownRevision);
   }
 
@@ -188,17 +192,17 @@
   describe(): unknown {
     return {
       known: [...this.#known.keys()],
-      peers: [...this.#peers.values()].map((peer) => ({
+      peers: [...this.#linked.values()].map((peer) => ({
         host: peer.member.host,
-        silence: Math.round(peer.silence),
-        beat: peer.beat,
+        silence: Math.round(peer.heartbeatAge),
+        beat: peer.heartbeat,
       })),
       followPlace: this.followPlace(),
     };
   }
 
-  #heard(peer: meshPeer.MeshPeer): boolean {
-    return peer.open && peer.silence < UNHEARD_MILLISECONDS;
+  #isReachable(peer: meshPeer.MeshPeer): boolean {
+    return peer.open && peer.heartbeatAge < MAX_HEARTBEAT_AGE_MILLISECONDS;
   }
 
   /**
@@ -211,11 +215,11 @@
       this.#ownRevision ??= await rows.register(self);
       const read = this.#ownRevision ? await rows.read() : undefined;
       if (read?.isErr() ?? true) {
-        await common.sleep(REGISTER_PAUSE_MILLISECONDS, signal);
+        await common.sleep(REGISTER_RETRY_MILLISECONDS, signal);
         continue;
       }
       for (const { member, revision } of read?.unwrapOr([]) ?? []) {
-        this.#learn(member, revision);
+        this.#noteMember(member, revision);
       }
       await this.#nextEpoch(signal);
       this.#ownRevision = undefined;
@@ -227,7 +231,7 @@
     const { epoch } = this.parameters.rows;
     const isOver = () => this.#ownRevision?.epoch !== epoch.number;
     while (!signal.aborted && !isOver()) {
-      await epoch.began.next(EPOCH_LOOK_MILLISECONDS, signal);
+      await epoch.began.next(EPOCH_CHECK_MILLISECONDS, signal);
     }
   }
 
@@ -235,13 +239,13 @@
    * Opens a link to each seed. Normally the store tells of the others sooner; a
    * process that starts while the store is away finds them this way alone.
    */
-  async #greetSeeds(signal: AbortSignal): Promise<void> {
+  async #dialSeeds(signal: AbortSignal): Promise<void> {
     const { seeds, self } = this.parameters;
     const others = seeds.filter(({ address }) => address !== self.address);
     await common.sleep(SECOND_DIALLER_DELAY_MILLISECONDS, signal);
     while (!signal.aborted && !this.parameters.configuration.value) {
       for (const { address, port } of others) {
-        const linked = [...this.#peers.values()].some(
+        const linked = [...this.#linked.values()].some(
           (peer) => peer.open && peer.member.address === address,
         );
         if (linked) continue;
@@ -249,11 +253,11 @@
           this.#dialOnce(address, port, seedSignal),
         );
       }
-      await common.sleep(LONGEST_PAUSE_MILLISECONDS, signal);
+      await common.sleep(MAX_PAUSE_MILLISECONDS, signal);
     }
   }
 
-  #learn(
+  #noteMember(
     member: wire.MeshMember,
     revision: backingServices.Revision | undefined,
   ): void {
@@ -266,11 +270,19 @@
       return;
     }
     const dialling = new AbortController();
-    const heardAt = common.now();
-    this.#known.set(member.host, { member, heardAt, revision, dialling });
+    const lastReceivedAt = common.now();
+    this.#known.set(member.host, {
+      member,
+      lastReceivedAt: lastReceivedAt,
+      revision,
+      dialling,
+    });
     logger.event(common.EventCode.HostAppeared, { peer: member.host });
     lifeCycle.run(`dial ${member.host}`, (signal) =>
-      this.#keepLinked(member.host, AbortSignal.any([signal, dialling.signal])),
+      this.#maintainLink(
+        member.host,
+        AbortSignal.any([signal, dialling.signal]),
+      ),
     );
   }
 
@@ -284,22 +296,22 @@
   }
 
   /** Dials an entry whenever there is no link to it, until it is forgotten. */
-  async #keepLinked(host: string, signal: AbortSignal): Promise<void> {
+  async #maintainLink(host: string, signal: AbortSignal): Promise<void> {
     const { self, random, rows } = this.parameters;
     const backOff = new common.BackOff({
-      firstMilliseconds: FIRST_PAUSE_MILLISECONDS,
-      longestMilliseconds: LONGEST_PAUSE_MILLISECONDS,
+      firstMilliseconds: MIN_PAUSE_MILLISECONDS,
+      longestMilliseconds: MAX_PAUSE_MILLISECONDS,
       random,
     });
     while (!signal.aborted) {
       const known = this.#known.get(host);
       if (!known) return;
-      if (this.#peers.get(host)?.open) {
+      if (this.#linked.get(host)?.open) {
         backOff.reset();
-        await this.#changed.next(LONGEST_PAUSE_MILLISECONDS, signal);
+        await this.#linksChanged.next(MAX_PAUSE_MILLISECONDS, signal);
         continue;
       }
-      if (common.now() - known.heardAt > FORGET_MILLISECONDS) {
+      if (common.now() - known.lastReceivedAt > FORGET_AFTER_MILLISECONDS) {
         this.#forget(host);
         if (known.revision) await rows.remove(host, known.revision);
         return;
@@ -307,7 +319,7 @@
       const pause = backOff.pause();
       const later = self.host < host ? 0 : SECOND_DIALLER_DELAY_MILLISECONDS;
       await common.sleep(pause + later, signal);
-      if (signal.aborted || this.#peers.get(host)?.open) continue;
+      if (signal.aborted || this.#linked.get(host)?.open) continue;
       const { address, linkPort } = known.member;
       await this.#dialOnce(address, linkPort, signal);
     }
@@ -320,9 +332,9 @@
   ): Promise<void> {
     const dialled = await wire.dial({
       url: `ws://${address}:${port}${listenModule.LINK_PATH}`,
-      key: LINK_WORD,
+      key: LINK_KEY,
       timing: LINK_TIMING,
-      heartbeat: noHeartbeat,
+      heartbeat: emptyHeartbeat,
     });
     if (dialled.isOk()) await this.#serve(dialled.value, signal);
   }
@@ -342,42 +354,42 @@
     const { host } = hello.member;
     if (host === self.host) return link.close();
     const peer = new meshPeer.MeshPeer(hello.member, hello.incarnation, link);
-    this.#peers.set(host, peer);
-    this.#learn(hello.member, undefined);
-    for (const other of hello.others) this.#learn(other, undefined);
-    this.#changed.announce();
+    this.#linked.set(host, peer);
+    this.#noteMember(hello.member, undefined);
+    for (const other of hello.others) this.#noteMember(other, undefined);
+    this.#linksChanged.announce();
     logger.event(common.EventCode.LinkEstablished, { peer: host });
-    this.#sendBeat(peer, this.#stamps.next());
-    const suspicions = this.parameters.suspicions.everything();
+    this.#sendHeartbeat(peer, this.#heartbeatClock.nextStamp());
+    const suspicions = this.parameters.suspicions.initialMessage();
     if (suspicions) link.send(suspicions);
     for await (const message of link.messages()) this.#receive(peer, message);
     logger.event(common.EventCode.LinkLost, { peer: host, end: link.end });
-    if (this.#peers.get(host) === peer) {
-      this.#peers.delete(host);
+    if (this.#linked.get(host) === peer) {
+      this.#linked.delete(host);
       this.parameters.onOutstanding(host, undefined);
     }
-    this.#changed.announce();
+    this.#linksChanged.announce();
   }
 
   #receive(peer: meshPeer.MeshPeer, message: wire.Message): void {
     const { onOutstanding } = this.parameters;
     const known = this.#known.get(peer.member.host);
-    if (known) known.heardAt = common.now();
+    if (known) known.lastReceivedAt = common.now();
     switch (message.kind) {
-      case wire.MessageKind.MeshBeat: {
+      case wire.MessageKind.MeshHeartbeat: {
         peer.receive(message);
-        this.#hearEpoch(message.tableEpoch);
+        this.#noteEpoch(message.tableEpoch);
         onOutstanding(peer.member.host, new Map(message.outstanding));
-        this.#documents.takeProofs(message);
+        this.#documents.receiveProofs(message);
         this.#documents.pushNewer(peer);
         if (message.leaving) this.#forget(peer.member.host);
         return;
       }
       case wire.MessageKind.MeshConfiguration:
       case wire.MessageKind.MeshRunners:
-        return this.#documents.take(message, peer);
+        return this.#documents.receive(message, peer);
       case wire.MessageKind.Suspicions:
-        return this.parameters.suspicions.take(message, peer.member.host);
+        return this.parameters.suspicions.receive(message, peer.member.host);
       default:
         // A message of another duty: both ends run the same program, so it is
         // a fault of the peer, and its link goes.
@@ -386,9 +398,10 @@
   }
 
   /** Few entries ask the table; the others learn from them that it came back. */
-  #hearEpoch(told: number): void {
+  #noteEpoch(reportedEpoch: number): void {
     const { epoch } = this.parameters.rows;
-    if (told > epoch.number) epoch.note(String(told), common.now());
+    if (reportedEpoch > epoch.number)
+      epoch.note(String(reportedEpoch), common.now());
   }
 
   /** Passes a newer document on as soon as it is here. */
@@ -397,22 +410,22 @@
     signal: AbortSignal,
   ): Promise<void> {
     while (!signal.aborted) {
-      await changes.next(LONGEST_PAUSE_MILLISECONDS, signal);
-      for (const peer of this.#peers.values()) {
+      await changes.next(MAX_PAUSE_MILLISECONDS, signal);
+      for (const peer of this.#linked.values()) {
         this.#documents.pushNewer(peer);
       }
     }
   }
 
-  #beat(): void {
-    const stamp = this.#stamps.next();
-    for (const peer of this.#peers.values()) this.#sendBeat(peer, stamp);
+  #sendHeartbeats(): void {
+    const stamp = this.#heartbeatClock.nextStamp();
+    for (const peer of this.#linked.values()) this.#sendHeartbeat(peer, stamp);
   }
 
-  #sendBeat(peer: meshPeer.MeshPeer, stamp: number): void {
+  #sendHeartbeat(peer: meshPeer.MeshPeer, stamp: number): void {
     const { ready } = this.parameters;
     peer.link.send({
-      kind: wire.MessageKind.MeshBeat,
+      kind: wire.MessageKind.MeshHeartbeat,
       stamp,
       ...peer.echo(),
       ready: ready() && !this.#leaving,
@@ -426,6 +439,6 @@
 }
 
 /** For links whose own heartbeats need tell nothing: their messages do. */
-export function noHeartbeat(): { clock: number; revision: number } {
+export function emptyHeartbeat(): { clock: number; revision: number } {
   return { clock: 0, revision: 0 };
 }
--- a/packages/daemon/src/mesh/stamp_clock.ts
+++ b/packages/daemon/src/mesh/heartbeat_clock.ts
@@ -1,7 +1,7 @@
 import * as common from "@geraniumkeel/common";
 
 /** Beats of which the time of sending is kept: several seconds' worth. */
-const KEPT_STAMPS = 64;
+const MAX_REMEMBERED_HEARTBEATS = 64;
 
 /**
  * Numbers this process's beats and remembers when each was sent. A peer sends the
@@ -10,14 +10,14 @@
  * seconds while the network is cut; measured from the beat that it answers, what
  * it proves is never taken for fresher than it is.
  */
-export class StampClock {
+export class HeartbeatClock {
   readonly #sentAt: { stamp: number; at: common.Instant }[] = [];
   #stamp = 0;
 
   /** Number for a beat that is sent now. */
-  next(): number {
+  nextStamp(): number {
     this.#stamp++;
-    this.#sentAt[this.#stamp % KEPT_STAMPS] = {
+    this.#sentAt[this.#stamp % MAX_REMEMBERED_HEARTBEATS] = {
       stamp: this.#stamp,
       at: common.instant(),
     };
@@ -37,12 +37,12 @@
   }): common.Instant | undefined {
     const { echoedStamp, echoedAge, factAge } = parameters;
     if (echoedStamp < 0 || factAge < 0) return undefined;
-    const sent = this.#sentAt[echoedStamp % KEPT_STAMPS];
+    const sent = this.#sentAt[echoedStamp % MAX_REMEMBERED_HEARTBEATS];
     if (sent?.stamp !== echoedStamp) return undefined;
-    const later = echoedAge - factAge;
+    const timeSinceSending = echoedAge - factAge;
     return {
-      monotonic: sent.at.monotonic + later,
-      wall: sent.at.wall + later,
+      monotonic: sent.at.monotonic + timeSinceSending,
+      wall: sent.at.wall + timeSinceSending,
     };
   }
 }
--- a/packages/daemon/src/mesh/stamp_clock_test.ts
+++ b/packages/daemon/src/mesh/heartbeat_clock_test.ts
@@ -1,15 +1,15 @@
 import * as ava from "ava";
 import * as common from "@geraniumkeel/common";
-import * as stampClock from "./stamp_clock.ts";
+import * as heartbeatClock from "./heartbeat_clock.ts";
 
 const test = ava.default;
 
 // A cut network may deliver a peer's proof seconds late. The entry that gets it
 // must not take it for fresh: it counts from its own beat that the peer answered.
 test("a proof is never fresher than the beat that it answers", (t) => {
-  const clock = new stampClock.StampClock();
+  const clock = new heartbeatClock.HeartbeatClock();
   const before = common.instant();
-  const stamp = clock.next();
+  const stamp = clock.nextStamp();
   const at = clock.provenAt({
     echoedStamp: stamp,
     echoedAge: 0,
@@ -21,17 +21,17 @@
 });
 
 test("time that the peer had the beat counts in its favour", (t) => {
-  const clock = new stampClock.StampClock();
-  const echoedStamp = clock.next();
+  const clock = new heartbeatClock.HeartbeatClock();
+  const echoedStamp = clock.nextStamp();
   const early = clock.provenAt({ echoedStamp, echoedAge: 0, factAge: 100 });
   const late = clock.provenAt({ echoedStamp, echoedAge: 80, factAge: 100 });
   t.is(Math.round((late?.monotonic ?? 0) - (early?.monotonic ?? 0)), 80);
 });
 
 test("a beat that was never sent, or long ago, proves nothing", (t) => {
-  const clock = new stampClock.StampClock();
-  const first = clock.next();
-  for (let count = 0; count < 100; count++) clock.next();
+  const clock = new heartbeatClock.HeartbeatClock();
+  const first = clock.nextStamp();
+  for (let count = 0; count < 100; count++) clock.nextStamp();
   for (const echoedStamp of [-1, first, 5_000]) {
     const at = clock.provenAt({ echoedStamp, echoedAge: 0, factAge: 0 });
     t.is(at, undefined);
@@ -39,8 +39,8 @@
 });
 
 test("a peer without a proof gives none", (t) => {
-  const clock = new stampClock.StampClock();
-  const echoedStamp = clock.next();
+  const clock = new heartbeatClock.HeartbeatClock();
+  const echoedStamp = clock.nextStamp();
   const at = clock.provenAt({ echoedStamp, echoedAge: 0, factAge: -1 });
   t.is(at, undefined);
 });
--- a/packages/daemon/src/mesh/member_rows.ts
+++ b/packages/daemon/src/mesh/member_rows.ts
@@ -10,9 +10,9 @@
  * Row with the epoch of the table in which its configuration was last found to be the
  * newest. It lies just before the entries, so that one call reads all.
  */
-const CONFIRMED_KEY = "entry-epoch";
+const CONFIRMED_EPOCH_KEY = "entry-epoch";
 /** Rows read at once; the target is 330 entries. */
-const MOST_ROWS = 1_000;
+const MAX_ROWS = 1_000;
 
 /** Time for which a stopping process waits for the store. */
 const REMOVE_TIMEOUT_MILLISECONDS = 500;
@@ -46,10 +46,10 @@
   async confirmEpoch(epoch: number): Promise<void> {
     const outcome = await this.table.transact({
       conditions: [],
-      writes: [backingServices.putRow(CONFIRMED_KEY, String(epoch))],
+      writes: [backingServices.putRow(CONFIRMED_EPOCH_KEY, String(epoch))],
     });
     if (outcome.kind !== backingServices.OutcomeKind.Committed) return;
-    this.#confirmedEpoch = outcome.revisions[CONFIRMED_KEY].epoch;
+    this.#confirmedEpoch = outcome.revisions[CONFIRMED_EPOCH_KEY].epoch;
   }
 
   /** Registers an entry; the revision of its row once it is certain. */
@@ -71,12 +71,12 @@
     neverthrow.Result<MemberRow[], backingServices.TableUnavailable>
   > {
     const rows = await this.table.range({
-      from: CONFIRMED_KEY,
+      from: CONFIRMED_EPOCH_KEY,
       to: PREFIX_END,
-      limit: MOST_ROWS,
+      limit: MAX_ROWS,
     });
     return rows.map((found) => {
-      const confirmed = found.find(({ key }) => key === CONFIRMED_KEY);
+      const confirmed = found.find(({ key }) => key === CONFIRMED_EPOCH_KEY);
       this.#confirmedEpoch = confirmed ? Number(confirmed.value) : Infinity;
       return found
         .filter(({ key }) => key.startsWith(PREFIX))
--- a/packages/daemon/src/mesh/mesh_peer.ts
+++ b/packages/daemon/src/mesh/mesh_peer.ts
@@ -2,14 +2,14 @@
 import type * as wire from "@geraniumkeel/wire";
 
 /** A beat of another entry, with when it came. */
-interface ReceivedBeat {
-  beat: wire.MeshBeat;
+interface ReceivedHeartbeat {
+  heartbeat: wire.MeshHeartbeat;
   at: common.Instant;
 }
 
 /** Another entry, as far as its link tells. */
 export class MeshPeer {
-  #received: ReceivedBeat | undefined;
+  #received: ReceivedHeartbeat | undefined;
   /** When a document was last pushed there, by name. */
   readonly #pushedAt = new Map<string, number>();
 
@@ -25,18 +25,18 @@
   }
 
   /** Milliseconds since anything was told on the link. */
-  get silence(): number {
+  get heartbeatAge(): number {
     return this.#received ? common.ageOf(this.#received.at) : Infinity;
   }
 
   /** What was told last. */
-  get beat(): wire.MeshBeat | undefined {
-    return this.#received?.beat;
+  get heartbeat(): wire.MeshHeartbeat | undefined {
+    return this.#received?.heartbeat;
   }
 
   /** Notes a beat. */
-  receive(beat: wire.MeshBeat): void {
-    this.#received = { beat, at: common.instant() };
+  receive(heartbeat: wire.MeshHeartbeat): void {
+    this.#received = { heartbeat: heartbeat, at: common.instant() };
   }
 
   /** Number and age of the beat that came last, to be sent back. */
@@ -46,11 +46,11 @@
     // By the monotonic clock alone, which may run behind: an age that is told
     // too small makes the receiver take a proof for older than it is.
     const echoedAge = common.now() - received.at.monotonic;
-    return { echoedStamp: received.beat.stamp, echoedAge };
+    return { echoedStamp: received.heartbeat.stamp, echoedAge };
   }
 
   /** Whether a document may be pushed again, and notes that it is. */
-  mayPush(name: string, intervalMilliseconds: number): boolean {
+  allowPush(name: string, intervalMilliseconds: number): boolean {
     const now = common.now();
     const last = this.#pushedAt.get(name) ?? -Infinity;
     if (now - last < intervalMilliseconds) return false;
--- a/packages/daemon/src/operator/change_configuration.ts
+++ b/packages/daemon/src/operator/change_configuration.ts
@@ -85,7 +85,7 @@
 ): Promise<neverthrow.Result<configuration.Sections, problem.Problem>> {
   if (!head) return neverthrow.ok({});
   const { keeper, store } = context;
-  const held = keeper.held();
+  const held = keeper.sectionRevisions();
   const heldTexts = keeper.view?.texts ?? {};
   const read = await store.readSections(head, held);
   if (read.isErr()) return neverthrow.err(storeUnavailable(read.error.reason));
--- a/packages/daemon/src/operator/describe_entry.ts
+++ b/packages/daemon/src/operator/describe_entry.ts
@@ -61,7 +61,7 @@
       revision: keeper.revision,
       presetInForce: keeper.view?.head.presetInForce ?? null,
       behind: keeper.behind,
-      sections: keeper.held(),
+      sections: keeper.sectionRevisions(),
     },
     members: members.all,
     peersLinked: peers.linked,
--- a/packages/daemon/src/rank_group/rank_links.ts
+++ b/packages/daemon/src/rank_group/rank_links.ts
@@ -236,9 +236,9 @@
     const { group } = led;
     const dialled = await wire.dial({
       url: `ws://${runner.address}:${linkPort}${listenModule.LINK_PATH}`,
-      key: entryMesh.LINK_WORD,
+      key: entryMesh.LINK_KEY,
       timing: entryMesh.LINK_TIMING,
-      heartbeat: entryMesh.noHeartbeat,
+      heartbeat: entryMesh.emptyHeartbeat,
     });
     if (dialled.isErr()) {
       await this.#identify(runner);
--- a/packages/daemon/src/rank_group/rank_process.ts
+++ b/packages/daemon/src/rank_group/rank_process.ts
@@ -120,9 +120,9 @@
     const accepting = wire.acceptLinks({
       server: linkServer,
       path: listenModule.LINK_PATH,
-      key: entryMesh.LINK_WORD,
+      key: entryMesh.LINK_KEY,
       timing: entryMesh.LINK_TIMING,
-      heartbeat: entryMesh.noHeartbeat,
+      heartbeat: entryMesh.emptyHeartbeat,
       onLink: (link) =>
         lifeCycle.run("accepted", (signal) =>
           this.#follower.serve(link, signal),
--- a/packages/stand_ins/src/measure/capacity_gateway.ts
+++ b/packages/stand_ins/src/measure/capacity_gateway.ts
@@ -89,8 +89,8 @@
     { length: runners },
     (_, index): [string, number] => [`i-${index.toString(16).padStart(10)}`, 3],
   );
-  const beat: wire.MeshBeat = {
-    kind: wire.MessageKind.MeshBeat,
+  const beat: wire.MeshHeartbeat = {
+    kind: wire.MessageKind.MeshHeartbeat,
     stamp: 90_000,
     echoedStamp: 90_000,
     echoedAge: 123.4,
--- a/packages/stand_ins/src/system/switched_off_test.ts
+++ b/packages/stand_ins/src/system/switched_off_test.ts
@@ -2,7 +2,7 @@
 import * as common from "@geraniumkeel/common";
 import type * as configuration from "@geraniumkeel/configuration";
 import * as configurationModule from "@geraniumkeel/configuration";
-import * as configurationKeeper from "@geraniumkeel/daemon/configuration/configuration_keeper";
+import * as configurationHolder from "@geraniumkeel/daemon/configuration/configuration_holder";
 import * as outgoingAttempt from "@geraniumkeel/daemon/dispatch/outgoing_attempt";
 import * as attemptTable from "@geraniumkeel/daemon/upstream/attempt_table";
 import * as wire from "@geraniumkeel/wire";
@@ -109,7 +109,7 @@
   for (const revision of [1, 3, 2]) off.adopt(headAt(revision));
   t.is(revertsIn(off.history).length, 1);
   const entries: common.HistoryEntry[] = [];
-  const on = new configurationKeeper.ConfigurationKeeper({
+  const on = new configurationHolder.ConfigurationHolder({
     logger: new common.RecordingLogger(),
     history: { record: (entry) => void entries.push(entry) },
     host: "e",
--- a/packages/stand_ins/src/system/woken_leader_test.ts
+++ b/packages/stand_ins/src/system/woken_leader_test.ts
@@ -32,9 +32,9 @@
   const accepting = wire.acceptLinks({
     server,
     path: listen.LINK_PATH,
-    key: entryMesh.LINK_WORD,
+    key: entryMesh.LINK_KEY,
     timing: entryMesh.LINK_TIMING,
-    heartbeat: entryMesh.noHeartbeat,
+    heartbeat: entryMesh.emptyHeartbeat,
     onLink: (link) => {
       const identity = { group: "g", epoch, rank: SUCCESSOR, size: RANKS };
       const kind = wire.MessageKind.RankHello;
--- a/packages/stand_ins/src/testing/rank_processes.ts
+++ b/packages/stand_ins/src/testing/rank_processes.ts
@@ -70,9 +70,9 @@
 ): Promise<wire.Link> {
   const dialled = await wire.dial({
     url: `ws://${addressOf(rank)}:${linkPort}${listen.LINK_PATH}`,
-    key: entryMesh.LINK_WORD,
+    key: entryMesh.LINK_KEY,
     timing: entryMesh.LINK_TIMING,
-    heartbeat: entryMesh.noHeartbeat,
+    heartbeat: entryMesh.emptyHeartbeat,
   });
   return dialled._unsafeUnwrap();
 }
--- a/packages/wire/src/compact.ts
+++ b/packages/wire/src/compact.ts
@@ -1,4 +1,4 @@
-import * as compactMeshBeat from "./compact_mesh_beat.ts";
+import * as compactMeshHeartbeat from "./compact_mesh_heartbeat.ts";
 import * as compactRankHeartbeat from "./compact_rank_heartbeat.ts";
 import * as isNumbers from "./is_numbers.ts";
 import type * as load from "./load.ts";
@@ -51,8 +51,8 @@
           Math.round(value.load[field] * scaleOf(field)),
         ),
       ];
-    case messageKind.MessageKind.MeshBeat:
-      return compactMeshBeat.meshBeatToList(value);
+    case messageKind.MessageKind.MeshHeartbeat:
+      return compactMeshHeartbeat.meshHeartbeatToList(value);
     case messageKind.MessageKind.RankHeartbeat:
       return compactRankHeartbeat.rankHeartbeatToList(value);
     default:
@@ -63,8 +63,8 @@
 /** The message of a compact list, or `undefined` if it is none. */
 export function fromCompact(list: unknown[]): message.Message | undefined {
   switch (list[0] as messageKind.MessageKind) {
-    case messageKind.MessageKind.MeshBeat:
-      return compactMeshBeat.meshBeatFromList(list);
+    case messageKind.MessageKind.MeshHeartbeat:
+      return compactMeshHeartbeat.meshHeartbeatFromList(list);
     case messageKind.MessageKind.RankHeartbeat:
       return compactRankHeartbeat.rankHeartbeatFromList(list);
     default:
--- a/packages/wire/src/compact_mesh_beat.ts
+++ b/packages/wire/src/compact_mesh_heartbeat.ts
@@ -17,32 +17,34 @@
  * second: by names it takes three times the bytes. Ages are whole milliseconds, rounded
  * to the side on which a proof counts as older than it is.
  */
-export function meshBeatToList(beat: mesh.MeshBeat): unknown[] {
-  const { configuration, runners } = beat;
+export function meshHeartbeatToList(heartbeat: mesh.MeshHeartbeat): unknown[] {
+  const { configuration, runners } = heartbeat;
   return [
-    beat.kind,
-    beat.stamp,
-    beat.echoedStamp,
-    Math.floor(beat.echoedAge),
-    flagsOf(beat),
-    beat.tableEpoch,
+    heartbeat.kind,
+    heartbeat.stamp,
+    heartbeat.echoedStamp,
+    Math.floor(heartbeat.echoedAge),
+    flagsOf(heartbeat),
+    heartbeat.tableEpoch,
     configuration.version,
     Math.ceil(configuration.age),
     runners.version,
     Math.ceil(runners.age),
-    ...beat.outstanding.flat(),
+    ...heartbeat.outstanding.flat(),
   ];
 }
 
 /** The beat of a list, or `undefined` if it is none. */
-export function meshBeatFromList(list: unknown[]): mesh.MeshBeat | undefined {
+export function meshHeartbeatFromList(
+  list: unknown[],
+): mesh.MeshHeartbeat | undefined {
   const head = list.slice(0, HEAD_LENGTH);
   const outstanding = countsOf(list.slice(HEAD_LENGTH));
   if (!isNumbers.isNumbers(head) || head.length < HEAD_LENGTH) return undefined;
   if (!outstanding) return undefined;
   const [, stamp, echoedStamp, echoedAge, flags, tableEpoch, ...proofs] = head;
   return {
-    kind: messageKind.MessageKind.MeshBeat,
+    kind: messageKind.MessageKind.MeshHeartbeat,
     stamp,
     echoedStamp,
     echoedAge,
@@ -56,8 +58,8 @@
   };
 }
 
-function flagsOf(beat: mesh.MeshBeat): number {
-  const { ready, leaving, storeReachable } = beat;
+function flagsOf(heartbeat: mesh.MeshHeartbeat): number {
+  const { ready, leaving, storeReachable } = heartbeat;
   return (
     (ready ? Flag.Ready : 0) |
     (leaving ? Flag.Leaving : 0) |
--- a/packages/wire/src/compact_test.ts
+++ b/packages/wire/src/compact_test.ts
@@ -7,9 +7,11 @@
 
 const test = ava.default;
 
-function createMeshBeat(parts: Partial<mesh.MeshBeat> = {}): mesh.MeshBeat {
+function createMeshBeat(
+  parts: Partial<mesh.MeshHeartbeat> = {},
+): mesh.MeshHeartbeat {
   return {
-    kind: messageKind.MessageKind.MeshBeat,
+    kind: messageKind.MessageKind.MeshHeartbeat,
     stamp: 1_234,
     echoedStamp: 77,
     echoedAge: 12,
@@ -72,7 +74,7 @@
     configuration: { version: 1, age: 310.1 },
     runners: { version: 1, age: 0.2 },
   });
-  const arrived = sent(beat) as mesh.MeshBeat;
+  const arrived = sent(beat) as mesh.MeshHeartbeat;
   t.true(arrived.echoedAge <= beat.echoedAge);
   t.true(arrived.configuration.age >= beat.configuration.age);
   t.true(arrived.runners.age >= beat.runners.age);
@@ -87,8 +89,8 @@
   const beats = [createMeshBeat(), createRankBeat([1])];
   for (const beat of beats) t.truthy(sent(beat));
   for (const frame of [
-    [messageKind.MessageKind.MeshBeat, 1, 2],
-    [messageKind.MessageKind.MeshBeat, 1, 2, 3, 4, 5, 6, 7, 8, "i-1"],
+    [messageKind.MessageKind.MeshHeartbeat, 1, 2],
+    [messageKind.MessageKind.MeshHeartbeat, 1, 2, 3, 4, 5, 6, 7, 8, "i-1"],
     [messageKind.MessageKind.RankHeartbeat, "g", 1, 2],
     [messageKind.MessageKind.RankHeartbeat, 1, 2, 3, 4, 5, 6, 7],
     [messageKind.MessageKind.Heartbeat, "1", 2],
--- a/packages/wire/src/mesh.ts
+++ b/packages/wire/src/mesh.ts
@@ -29,8 +29,8 @@
 }
 
 /** What an entry tells the others several times a second. */
-export interface MeshBeat {
-  kind: messageKind.MessageKind.MeshBeat;
+export interface MeshHeartbeat {
+  kind: messageKind.MessageKind.MeshHeartbeat;
   /** Number of this beat, the same for all receivers. */
   stamp: number;
   /** Number of the receiver's beat that was received last; -1 for none. */
--- a/packages/wire/src/message.ts
+++ b/packages/wire/src/message.ts
@@ -92,7 +92,7 @@
 export type Message =
   | Hello
   | mesh.MeshHello
-  | mesh.MeshBeat
+  | mesh.MeshHeartbeat
   | mesh.MeshConfiguration
   | mesh.MeshRunners
   | rankGroup.RankHello
--- a/packages/wire/src/message_kind.ts
+++ b/packages/wire/src/message_kind.ts
@@ -34,7 +34,7 @@
   CreditGrant = 61,
   CreditReturn = 62,
   MeshHello = 70,
-  MeshBeat = 71,
+  MeshHeartbeat = 71,
   MeshConfiguration = 72,
   MeshRunners = 73,
   RankHello = 80,
