--- a/packages/daemon/src/mesh/document_exchange.ts
+++ b/packages/daemon/src/mesh/document_exchange.ts
@@ -4,31 +4,34 @@
 import type * as meshPeer from "./mesh_peer.ts";
 import type * as heartbeatClockModule from "./heartbeat_clock.ts";
 
-/** Time after which a push that had no effect is repeated. */
+/**
+ * Time after which a document is pushed again to a peer that still lacks it.
+ */
 const PUSH_RETRY_MILLISECONDS = 400;
 
 /**
- * Time for which an entry leaves a document that it has from a peer to that peer to
- * send. It sends it to all others at the same moment; passed on at once, each of 45
- * entries sends it to 44, most of which have it or are about to. One that the first
- * sender does not reach has it this much and one beat later, 0.8 s, where two to three
- * seconds are promised.
+ * Time that an entry waits before it forwards a document that it received from
+ * a peer. That peer sends the document to all entries at the same moment. If
+ * each of 45 entries forwarded it at once, it would send 44 copies, most of
+ * them to entries that have the document already. An entry that the first
+ * sender does not reach gets the document after this delay and one heartbeat:
+ * 0.8 s, where two to three seconds are promised.
  */
 const RELAY_DELAY_MILLISECONDS = 500;
 
-/** Documents that entries exchange, by the names that logs give them. */
+/** Documents that entries exchange, by their names in the logs. */
 enum DocumentName {
   Configuration = "configuration",
   Runners = "runners",
 }
 
-/** A document as it is sent. */
+/** A document with the bytes that are sent for it. */
 interface CachedDocument {
   document: traffic.Versioned;
   bytes: wire.PackedDocument;
 }
 
-/** What exchanging documents with other entries needs. */
+/** What a `DocumentExchange` is created with. */
 export interface DocumentExchangeParameters {
   configuration: traffic.ProvenValue<traffic.TrafficConfiguration>;
   runners: traffic.ProvenValue<traffic.RunnerList>;
@@ -37,18 +40,20 @@
 }
 
 /**
- * Passes configuration and list of runners between entries, newer ones only, and
- * with each beat the proof of how fresh they are: an entry that does not reach the
- * store knows what the others know.
+ * Exchanges the configuration and the list of runners with the other entries,
+ * so that an entry that cannot reach the store still has the newest versions.
+ * An entry sends a document only to peers that have an older version. Each
+ * heartbeat carries the proof of both documents: the last moment at which the
+ * sender's version was certain to be the newest.
  */
 export class DocumentExchange {
-  /** Versions that a peer sent, and when they may be sent on. */
+  /** Versions received from a peer, and when this entry may forward them. */
   readonly #relays = new Map<DocumentName, { version: number; at: number }>();
   readonly #packed = new Map<DocumentName, CachedDocument>();
 
   constructor(readonly parameters: DocumentExchangeParameters) {}
 
-  /** Version and age of the proof of each document, for the next beat. */
+  /** Version and age of the proof of each document, for the next heartbeat. */
   proofs(): Pick<wire.MeshHeartbeat, "configuration" | "runners"> {
     const { configuration, runners } = this.parameters;
     return {
@@ -57,14 +62,17 @@
     };
   }
 
-  /** Takes the proofs of a peer's beat. */
+  /** Applies the proofs in a peer's heartbeat to the local documents. */
   receiveProofs(heartbeat: wire.MeshHeartbeat): void {
     const { configuration, runners } = this.parameters;
     this.#receiveProof(configuration, heartbeat, heartbeat.configuration);
     this.#receiveProof(runners, heartbeat, heartbeat.runners);
   }
 
-  /** Takes a document from a peer if it is newer than the one held. */
+  /**
+   * Puts a peer's document in force if it is newer than the local one. Closes
+   * the link if the document is unreadable.
+   */
   receive(
     message: wire.MeshConfiguration | wire.MeshRunners,
     peer: meshPeer.MeshPeer,
@@ -108,7 +116,10 @@
     this.parameters.logger.event(code, { document: name, version, from });
   }
 
-  /** Sends a peer what it is seen to lack. */
+  /**
+   * Sends a peer the documents of which its last heartbeat names an older
+   * version.
+   */
   pushNewer(peer: meshPeer.MeshPeer): void {
     const { configuration, runners } = this.parameters;
     const heartbeat = peer.heartbeat;
@@ -146,7 +157,7 @@
     peer.link.send({ kind, version, packed });
   }
 
-  /** A document as it is sent, packed once a version. */
+  /** The bytes of a document; each version is packed only once. */
   #packedOf(
     name: DocumentName,
     document: traffic.Versioned,
--- a/packages/daemon/src/mesh/document_exchange_test.ts
+++ b/packages/daemon/src/mesh/document_exchange_test.ts
@@ -19,7 +19,7 @@
   return { version, routes: [], services: [], accounts: [] } as never;
 }
 
-/** An entry's exchange, without other entries. */
+/** The document exchange of one entry, and its configuration. */
 function createExchange(): {
   exchange: documentExchange.DocumentExchange;
   configuration: traffic.ProvenValue<traffic.TrafficConfiguration>;
@@ -34,7 +34,10 @@
   return { exchange, configuration };
 }
 
-/** A peer that has told the versions it holds, and what is sent to it. */
+/**
+ * A peer whose heartbeat reported a configuration of `version`, and the
+ * documents that are sent to it.
+ */
 function createPeer(version: number): {
   peer: meshPeer.MeshPeer;
   sent: Sent[];
@@ -55,7 +58,7 @@
   return { peer, sent };
 }
 
-test("what came from the store goes to all at once", (t) => {
+test("a version read from the store is pushed to a peer at once", (t) => {
   const { exchange, configuration } = createExchange();
   const { peer, sent } = createPeer(3);
   configuration.offer(configurationOf(4));
@@ -64,10 +67,10 @@
   t.is(sent[0].version, 4);
 });
 
-// Each version of a large configuration filled the links of 45 entries: whoever
-// received it sent it to all others, who had it already or were about to. Callers'
-// streams waited behind it.
-test("what came from a peer is first left to that peer to send", async (t) => {
+// Without the delay, every entry that received a large configuration forwarded
+// it to all others, which had it or were about to get it. With 45 entries this
+// filled the links, and callers' streams waited behind it.
+test("a version received from a peer is forwarded only after a delay", async (t) => {
   const source = createExchange();
   const receiver = createExchange();
   const { peer, sent } = createPeer(3);
@@ -79,7 +82,7 @@
   const third = createPeer(3);
   receiver.exchange.pushNewer(third.peer);
   t.is(third.sent.length, 0);
-  // The third lacks it still: the first sender does not reach it.
+  // The first sender does not reach the third entry, which still lacks it.
   const notice = new common.ChangeNotice();
   const came = await notice.until({
     condition: () => {
@@ -92,7 +95,7 @@
   t.true(came);
 });
 
-test("a version read from the store meanwhile is not held back", (t) => {
+test("a version read from the store during the delay is pushed at once", (t) => {
   const source = createExchange();
   const receiver = createExchange();
   const first = createPeer(3);
@@ -105,7 +108,7 @@
   t.is(third.sent[0].version, 5);
 });
 
-test("an older version changes nothing", (t) => {
+test("an older version from a peer does not replace a newer one", (t) => {
   const source = createExchange();
   const receiver = createExchange();
   const first = createPeer(3);
--- a/packages/daemon/src/mesh/entry_mesh.ts
+++ b/packages/daemon/src/mesh/entry_mesh.ts
@@ -9,54 +9,71 @@
 import * as meshPeer from "./mesh_peer.ts";
 import * as heartbeatClockModule from "./heartbeat_clock.ts";
 
-/** Time between two beats, in milliseconds: the lag of counts between entries. */
+/** Time between two heartbeats; request counts of peers lag by this much. */
 const HEARTBEAT_INTERVAL_MILLISECONDS = 300;
-/** Silence after which callers are no longer sent to an entry. */
+/** Age of its last heartbeat at which an entry counts as unreachable. */
 const MAX_HEARTBEAT_AGE_MILLISECONDS = 1_000;
-/** Silence after which a link is replaced, here and between ranks. */
+/** Timing of links between entries and between ranks, in milliseconds. */
 export const LINK_TIMING: wire.LinkTiming = {
   heartbeat: 500,
   silentAfter: 1_500,
   connectTimeout: 500,
 };
-/** Pauses between attempts to open a link. */
+/** Shortest and longest pause between attempts to open a link. */
 const MIN_PAUSE_MILLISECONDS = 100;
 const MAX_PAUSE_MILLISECONDS = 1_000;
-/** Delay before the end that normally waits to be dialled dials itself. */
+/**
+ * Delay before the entry with the later name dials. Normally the other entry
+ * has dialled by then; without the delay both would dial at the same moment.
+ */
 const SECOND_DIALLER_DELAY_MILLISECONDS = 400;
-/** Time without any word after which an entry is taken for gone for good. */
+/** Time without a message after which an entry counts as departed. */
 const FORGET_AFTER_MILLISECONDS = 60_000;
-/** How often it is looked whether the table came back, if nothing is announced. */
+/**
+ * How often this entry checks for a new epoch of the table, if none is
+ * announced.
+ */
 const EPOCH_CHECK_MILLISECONDS = 5_000;
-/** Pause before the store is asked again for the other entries. */
+/**
+ * Pause before this entry repeats a failed registration or read of the rows.
+ */
 const REGISTER_RETRY_MILLISECONDS = 500;
 /**
- * Word by which processes of one system know each other. The hosts' settings
- * hold no secret; it keeps out strays, not attackers.
+ * Key that processes of one deployment present when they open a link. It is no
+ * secret, because the hosts' settings contain none: it keeps out processes that
+ * connect by mistake, not attackers.
  */
 export const LINK_KEY = "geraniumkeel";
 
-/** What the mesh of entries needs. */
+/** What an `EntryMesh` is created with. */
 export interface EntryMeshParameters {
   self: wire.MeshMember;
   incarnation: string;
   rows: memberRows.MemberRows;
-  /** Where other entries may be found while the store is away. */
+  /** Addresses of other entries, for when the store is unavailable. */
   seeds: { address: string; port: number }[];
   configuration: traffic.ProvenValue<traffic.TrafficConfiguration>;
   runners: traffic.ProvenValue<traffic.RunnerList>;
+  /** Whether callers may be sent to this entry. */
   ready: () => boolean;
+  /** Whether the store answered this entry's latest call. */
   storeReachable: () => boolean;
+  /** Requests under way from this entry, by runner. */
   outstanding: () => [string, number][];
-  /** Counts of another entry; `undefined` when it is gone. */
+  /**
+   * Receives the requests under way from another entry, by runner; `undefined`
+   * when the link to it is lost.
+   */
   onOutstanding: (
     host: string,
     counts: Map<string, number> | undefined,
   ) => void;
-  /** What is told of requests that may end their runners. */
+  /** Exchange of suspicions: requests that may have crashed their runners. */
   suspicions: {
     receive: (message: wire.Suspicions, host: string) => void;
-    /** For an entry that was just linked; `undefined` if there are none. */
+    /**
+     * All suspicions, for an entry that was just linked; `undefined` if none.
+     */
     initialMessage: () => wire.Suspicions | undefined;
   };
   random: common.Random;
@@ -64,20 +81,22 @@
   lifeCycle: common.LifeCycle;
 }
 
-/** An entry that is known, linked or not. */
+/** Another entry that this one knows of, linked or not. */
 interface KnownMember {
   member: wire.MeshMember;
+  /** When its last message came; before the first, when it became known. */
   lastReceivedAt: number;
   /** Revision of its row; `undefined` if it was not read from the store. */
   revision: backingServices.Revision | undefined;
+  /** Stops the task that dials it. */
   dialling: AbortController;
 }
 
 /**
- * Links between all entries. Over them flow who is ready, requests under way at
- * runners, newer documents, and proofs of how fresh these are, so that an entry
- * that is cut off from the store, or that does not ask it, knows what the others
- * know.
+ * Links from this entry to all others. Over them, entries exchange whether they
+ * are ready, their requests under way at runners, suspicions, newer documents
+ * and the proofs of these. So an entry that cannot reach the store, or that
+ * leaves reading it to others, still has the newest documents.
  */
 export class EntryMesh {
   readonly #known = new Map<string, KnownMember>();
@@ -86,7 +105,7 @@
   readonly #documents: documentExchange.DocumentExchange;
   readonly #linksChanged = new common.ChangeNotice();
   #leaving = false;
-  /** Revision of the own row, once it is certain. */
+  /** Revision of this entry's row, once it is certain to be written. */
   #ownRevision: backingServices.Revision | undefined;
 
   constructor(readonly parameters: EntryMeshParameters) {
@@ -97,7 +116,7 @@
     });
   }
 
-  /** Accepts links and looks for the other entries. */
+  /** Accepts links, registers this entry, and finds and dials the others. */
   start(server: http.Server): void {
     const { lifeCycle, configuration, runners } = this.parameters;
     const accepting = wire.acceptLinks({
@@ -124,7 +143,7 @@
     );
   }
 
-  /** Entries that callers may be sent to; this one among them if it is ready. */
+  /** Entries that callers may be sent to, including this one if it is ready. */
   readyMembers(): wire.MeshMember[] {
     const { self, ready } = this.parameters;
     const members = ready() && !this.#leaving ? [self] : [];
@@ -135,7 +154,10 @@
     return members;
   }
 
-  /** All entries that are known and not said to be leaving. */
+  /**
+   * All known entries, ready or not, except those that announced that they
+   * leave.
+   */
   knownMembers(): wire.MeshMember[] {
     const { self } = this.parameters;
     const members = this.#leaving ? [] : [self];
@@ -143,7 +165,9 @@
     return members;
   }
 
-  /** All other entries, each with its last beat if it is heard. */
+  /**
+   * All other known entries, each with its last heartbeat if it is reachable.
+   */
   peers(): { member: wire.MeshMember; beat: wire.MeshHeartbeat | undefined }[] {
     return [...this.#known.values()].map(({ member }) => {
       const peer = this.#linked.get(member.host);
@@ -153,14 +177,16 @@
     });
   }
 
-  /** Number of entries, heard or not, this one included. */
+  /** Number of known entries, reachable or not, including this one. */
   get size(): number {
     return this.#known.size + 1;
   }
 
   /**
-   * Place of this entry among those that reach the store and are heard, in an
-   * order that all agree on. The first ones follow the store for all.
+   * Position of this entry among the reachable entries that reach the store, in
+   * an order that all entries agree on; 0 is the first. The first entries poll
+   * the store on behalf of all. An entry that does not reach the store comes
+   * last.
    */
   followPlace(): number {
     const { self, storeReachable } = this.parameters;
@@ -180,7 +206,7 @@
     }
   }
 
-  /** Tells the others at once that this process stops. */
+  /** Notifies the other entries at once that this process stops. */
   async leave(): Promise<void> {
     const { rows, self } = this.parameters;
     this.#leaving = true;
@@ -188,7 +214,7 @@
     if (this.#ownRevision) await rows.remove(self.host, this.#ownRevision);
   }
 
-  /** What the state dump says of the mesh. */
+  /** The mesh's part of the state dump. */
   describe(): unknown {
     return {
       known: [...this.#known.keys()],
@@ -206,8 +232,9 @@
   }
 
   /**
-   * Writes the own row, and learns of the others: at the start, and again whenever the
-   * table came back from a copy, which may lack the row.
+   * Writes this entry's row and reads those of the others: at the start, and
+   * again in each new epoch of the table. An epoch begins when the table is
+   * restored from a copy, which may lack the row.
    */
   async #register(signal: AbortSignal): Promise<void> {
     const { rows, self } = this.parameters;
@@ -226,7 +253,7 @@
     }
   }
 
-  /** Resolves when the own row is of an epoch of the table that is over. */
+  /** Resolves when the table is in a later epoch than this entry's row. */
   async #nextEpoch(signal: AbortSignal): Promise<void> {
     const { epoch } = this.parameters.rows;
     const isOver = () => this.#ownRevision?.epoch !== epoch.number;
@@ -236,8 +263,9 @@
   }
 
   /**
-   * Opens a link to each seed. Normally the store tells of the others sooner; a
-   * process that starts while the store is away finds them this way alone.
+   * Dials each seed until this process has a configuration. Normally it finds
+   * the other entries in the store first; a process that starts while the store
+   * is unavailable finds them only through the seeds.
    */
   async #dialSeeds(signal: AbortSignal): Promise<void> {
     const { seeds, self } = this.parameters;
@@ -257,6 +285,7 @@
     }
   }
 
+  /** Adds an entry to the known ones and starts to dial it, or updates it. */
   #noteMember(
     member: wire.MeshMember,
     revision: backingServices.Revision | undefined,
@@ -295,7 +324,10 @@
     logger.event(common.EventCode.HostDisappeared, { peer: host });
   }
 
-  /** Dials an entry whenever there is no link to it, until it is forgotten. */
+  /**
+   * Dials an entry whenever there is no link to it. Forgets it, and removes its
+   * row from the store, after a minute without a message.
+   */
   async #maintainLink(host: string, signal: AbortSignal): Promise<void> {
     const { self, random, rows } = this.parameters;
     const backOff = new common.BackOff({
@@ -339,7 +371,10 @@
     if (dialled.isOk()) await this.#serve(dialled.value, signal);
   }
 
-  /** Serves one link until it ends. */
+  /**
+   * Exchanges hello messages on a link, then handles its messages until it
+   * closes.
+   */
   async #serve(link: wire.Link, signal: AbortSignal): Promise<void> {
     const { self, incarnation, logger } = this.parameters;
     link.closeOn(signal);
@@ -391,20 +426,23 @@
       case wire.MessageKind.Suspicions:
         return this.parameters.suspicions.receive(message, peer.member.host);
       default:
-        // A message of another duty: both ends run the same program, so it is
-        // a fault of the peer, and its link goes.
+        // No entry sends any other kind here, and both ends run the same
+        // program, so the message is a fault of the peer. Its link is closed.
         peer.link.close(wire.LinkEnd.Unreadable);
     }
   }
 
-  /** Few entries ask the table; the others learn from them that it came back. */
+  /**
+   * Applies a peer's epoch of the table if it is higher. Only few entries poll
+   * the table; the others learn from them that it was restored from a copy.
+   */
   #noteEpoch(reportedEpoch: number): void {
     const { epoch } = this.parameters.rows;
     if (reportedEpoch > epoch.number)
       epoch.note(String(reportedEpoch), common.now());
   }
 
-  /** Passes a newer document on as soon as it is here. */
+  /** Pushes a document to the peers that lack it as soon as it changes here. */
   async #pushChanges(
     changes: common.ChangeNotice,
     signal: AbortSignal,
@@ -438,7 +476,7 @@
   }
 }
 
-/** For links whose own heartbeats need tell nothing: their messages do. */
+/** Heartbeat of links whose other messages carry all state: it reports none. */
 export function emptyHeartbeat(): { clock: number; revision: number } {
   return { clock: 0, revision: 0 };
 }
--- a/packages/daemon/src/mesh/heartbeat_clock.ts
+++ b/packages/daemon/src/mesh/heartbeat_clock.ts
@@ -1,20 +1,22 @@
 import * as common from "@geraniumkeel/common";
 
-/** Beats of which the time of sending is kept: several seconds' worth. */
+/** Heartbeats whose sending time is remembered: those of several seconds. */
 const MAX_REMEMBERED_HEARTBEATS = 64;
 
 /**
- * Numbers this process's beats and remembers when each was sent. A peer sends the
- * number of the last one back with what it tells, which proves that the peer
- * spoke after that moment of our own clock. A message may lie in a connection for
- * seconds while the network is cut; measured from the beat that it answers, what
- * it proves is never taken for fresher than it is.
+ * Numbers the heartbeats of this process and remembers when each was sent, in
+ * order to date statements of peers by this process's own clocks. A peer's
+ * heartbeat carries the number of the last heartbeat that the peer received,
+ * which proves that the peer sent its own later than that. A message may be
+ * delayed in a connection for seconds while the network is cut. Because its age
+ * counts from the heartbeat that it echoes, a late proof never appears more
+ * recent than it is.
  */
 export class HeartbeatClock {
   readonly #sentAt: { stamp: number; at: common.Instant }[] = [];
   #stamp = 0;
 
-  /** Number for a beat that is sent now. */
+  /** Returns the number for a heartbeat that is sent now. */
   nextStamp(): number {
     this.#stamp++;
     this.#sentAt[this.#stamp % MAX_REMEMBERED_HEARTBEATS] = {
@@ -25,14 +27,18 @@
   }
 
   /**
-   * The latest moment, by the own clocks, at which what a peer tells is certain
-   * to have held; `undefined` if it answers no beat that is remembered.
+   * The latest moment, by this process's clocks, at which a peer's statement
+   * was certainly true. `undefined` if the peer has no proof, or if it echoes
+   * no heartbeat that is still remembered.
    */
   provenAt(parameters: {
     echoedStamp: number;
-    /** Milliseconds for which the peer had the beat before it spoke. */
+    /** Milliseconds from the peer's receipt of the heartbeat to its message. */
     echoedAge: number;
-    /** Milliseconds by which the fact was old when the peer spoke. */
+    /**
+     * Age of the statement when the peer sent it, in milliseconds; -1 if the
+     * peer has no proof.
+     */
     factAge: number;
   }): common.Instant | undefined {
     const { echoedStamp, echoedAge, factAge } = parameters;
--- a/packages/daemon/src/mesh/heartbeat_clock_test.ts
+++ b/packages/daemon/src/mesh/heartbeat_clock_test.ts
@@ -4,9 +4,10 @@
 
 const test = ava.default;
 
-// A cut network may deliver a peer's proof seconds late. The entry that gets it
-// must not take it for fresh: it counts from its own beat that the peer answered.
-test("a proof is never fresher than the beat that it answers", (t) => {
+// A network that was cut may deliver a peer's proof seconds late. The receiver
+// must not take the proof for recent: it counts from its own heartbeat that the
+// peer echoed.
+test("a proof dates from the echoed heartbeat minus the age of the proof", (t) => {
   const clock = new heartbeatClock.HeartbeatClock();
   const before = common.instant();
   const stamp = clock.nextStamp();
@@ -20,7 +21,7 @@
   t.true((at?.monotonic ?? 0) >= before.monotonic - 251);
 });
 
-test("time that the peer had the beat counts in its favour", (t) => {
+test("a proof is later by the time that the peer waited before its echo", (t) => {
   const clock = new heartbeatClock.HeartbeatClock();
   const echoedStamp = clock.nextStamp();
   const early = clock.provenAt({ echoedStamp, echoedAge: 0, factAge: 100 });
@@ -28,7 +29,7 @@
   t.is(Math.round((late?.monotonic ?? 0) - (early?.monotonic ?? 0)), 80);
 });
 
-test("a beat that was never sent, or long ago, proves nothing", (t) => {
+test("an echo of a heartbeat never sent, or sent long ago, proves nothing", (t) => {
   const clock = new heartbeatClock.HeartbeatClock();
   const first = clock.nextStamp();
   for (let count = 0; count < 100; count++) clock.nextStamp();
@@ -38,7 +39,7 @@
   }
 });
 
-test("a peer without a proof gives none", (t) => {
+test("an echo from a peer that has no proof proves nothing", (t) => {
   const clock = new heartbeatClock.HeartbeatClock();
   const echoedStamp = clock.nextStamp();
   const at = clock.provenAt({ echoedStamp, echoedAge: 0, factAge: -1 });
--- a/packages/daemon/src/mesh/member_rows.ts
+++ b/packages/daemon/src/mesh/member_rows.ts
@@ -4,45 +4,54 @@
 import type * as neverthrow from "neverthrow";
 
 const PREFIX = "entry/";
-/** First key behind all keys with the prefix. */
+/** First key after all keys with the prefix. */
 const PREFIX_END = "entry0";
 /**
- * Row with the epoch of the table in which its configuration was last found to be the
- * newest. It lies just before the entries, so that one call reads all.
+ * Row with the latest epoch of the table in which an entry confirmed that the
+ * table's configuration is the newest. Its key sorts just before the entries,
+ * so that one call reads all rows.
  */
 const CONFIRMED_EPOCH_KEY = "entry-epoch";
-/** Rows read at once; the target is 330 entries. */
+/**
+ * Largest number of rows read in one call; deployments have up to 330 entries.
+ */
 const MAX_ROWS = 1_000;
 
-/** Time for which a stopping process waits for the store. */
+/**
+ * Time that a process waits for the store to remove a row, even if it stops.
+ */
 const REMOVE_TIMEOUT_MILLISECONDS = 500;
 
-/** An entry's row, with the revision to remove it at. */
+/** An entry's row. Its revision is the condition of its removal. */
 export interface MemberRow {
   member: wire.MeshMember;
   revision: backingServices.Revision;
 }
 
-/** Entries as they registered themselves in the table service. */
+/**
+ * Rows of the table service in which the entries register themselves, so that
+ * each entry finds the others.
+ */
 export class MemberRows {
   #confirmedEpoch: number | undefined;
 
   constructor(readonly table: backingServices.TableService) {}
 
-  /** The epoch of the table that has them. */
+  /** The epoch of the table. */
   get epoch(): backingServices.TableEpoch {
     return this.table.epoch;
   }
 
   /**
-   * Epoch in which the table's configuration was last confirmed, as last read or
-   * written; infinite without a row, -1 before it was read.
+   * Epoch in which the table's configuration was last confirmed to be the
+   * newest, as this process last read or wrote it. Infinite if the table has no
+   * such row, -1 before the first read.
    */
   get confirmedEpoch(): number {
     return this.#confirmedEpoch ?? -1;
   }
 
-  /** Confirms that the table's configuration is the newest in an epoch. */
+  /** Writes that the table's configuration is the newest in an epoch. */
   async confirmEpoch(epoch: number): Promise<void> {
     const outcome = await this.table.transact({
       conditions: [],
@@ -52,7 +61,10 @@
     this.#confirmedEpoch = outcome.revisions[CONFIRMED_EPOCH_KEY].epoch;
   }
 
-  /** Registers an entry; the revision of its row once it is certain. */
+  /**
+   * Registers an entry. Returns the revision of its row, or `undefined` if the
+   * write is not certain to have been committed.
+   */
   async register(
     member: wire.MeshMember,
   ): Promise<backingServices.Revision | undefined> {
@@ -66,7 +78,7 @@
       : undefined;
   }
 
-  /** All registered entries. */
+  /** Reads all registered entries and the confirmed epoch. */
   async read(): Promise<
     neverthrow.Result<MemberRow[], backingServices.TableUnavailable>
   > {
@@ -88,8 +100,9 @@
   }
 
   /**
-   * Removes an entry's row, if it is still at a revision: a removal that takes
-   * effect late must not take the row of a successor of the same name.
+   * Removes an entry's row if it is still at the given revision. Without the
+   * condition, a removal that takes effect late could delete the row of a new
+   * process on the same host.
    */
   async remove(
     host: string,
@@ -97,7 +110,7 @@
   ): Promise<void> {
     const key = PREFIX + host;
     const conditions = [backingServices.atRevision(key, revision)];
-    // Whatever comes of it: a row that stays is dialled in vain, no more.
+    // The outcome is ignored: a row that stays only causes useless dialling.
     await common.withTimeout(
       this.table.transact({
         conditions,
--- a/packages/daemon/src/mesh/mesh_peer.ts
+++ b/packages/daemon/src/mesh/mesh_peer.ts
@@ -1,16 +1,16 @@
 import * as common from "@geraniumkeel/common";
 import type * as wire from "@geraniumkeel/wire";
 
-/** A beat of another entry, with when it came. */
+/** A heartbeat of another entry, and when this process received it. */
 interface ReceivedHeartbeat {
   heartbeat: wire.MeshHeartbeat;
   at: common.Instant;
 }
 
-/** Another entry, as far as its link tells. */
+/** Another entry that this one has a link to, with its last heartbeat. */
 export class MeshPeer {
   #received: ReceivedHeartbeat | undefined;
-  /** When a document was last pushed there, by name. */
+  /** When this process last pushed a document to the peer, by document name. */
   readonly #pushedAt = new Map<string, number>();
 
   constructor(
@@ -24,32 +24,38 @@
     return this.link.end === undefined;
   }
 
-  /** Milliseconds since anything was told on the link. */
+  /** Milliseconds since the last heartbeat; infinite before the first. */
   get heartbeatAge(): number {
     return this.#received ? common.ageOf(this.#received.at) : Infinity;
   }
 
-  /** What was told last. */
+  /** The last heartbeat; `undefined` before the first. */
   get heartbeat(): wire.MeshHeartbeat | undefined {
     return this.#received?.heartbeat;
   }
 
-  /** Notes a beat. */
+  /** Stores a heartbeat that was just received. */
   receive(heartbeat: wire.MeshHeartbeat): void {
-    this.#received = { heartbeat: heartbeat, at: common.instant() };
+    this.#received = { heartbeat, at: common.instant() };
   }
 
-  /** Number and age of the beat that came last, to be sent back. */
+  /**
+   * Number of the last heartbeat received, and the milliseconds since then, for
+   * the next heartbeat to the peer. The number is -1 before the first.
+   */
   echo(): { echoedStamp: number; echoedAge: number } {
     const received = this.#received;
     if (!received) return { echoedStamp: -1, echoedAge: 0 };
-    // By the monotonic clock alone, which may run behind: an age that is told
-    // too small makes the receiver take a proof for older than it is.
+    // Uses the monotonic clock alone, which may run slow. An age that is too
+    // small is safe: the peer then takes a proof for older than it is.
     const echoedAge = common.now() - received.at.monotonic;
     return { echoedStamp: received.heartbeat.stamp, echoedAge };
   }
 
-  /** Whether a document may be pushed again, and notes that it is. */
+  /**
+   * Returns whether the last push of a document was at least the interval ago.
+   * If so, it records a push at this moment.
+   */
   allowPush(name: string, intervalMilliseconds: number): boolean {
     const now = common.now();
     const last = this.#pushedAt.get(name) ?? -Infinity;
