--- a/packages/daemon/src/membership/host_view.ts
+++ b/packages/daemon/src/membership/host_view.ts
@@ -2,18 +2,23 @@
 import * as backingServices from "@geraniumkeel/backing_services";
 
 /**
- * Bytes a second that reading the list may take on average while it changes.
- * The list of a large deployment is long, and what is new in it is mostly known
- * by gossip and links.
+ * Average bytes a second that reading the list may use while the list changes.
+ * The list of a large deployment is long, and gossip and links usually report
+ * its changes sooner.
  */
 const READ_BYTES_PER_SECOND = 6_000;
 
-/** The platform's host list as last read; it lags and may be unavailable. */
+/**
+ * The platform's list of hosts, as this process last read it. The list lags
+ * behind the hosts' real state. While the platform is unavailable, the last
+ * list stays.
+ */
 export class HostView {
   readonly changed = new common.ChangeNotice();
   #hosts = new Map<string, backingServices.Host>();
   readonly #appearedAt = new Map<string, number>();
   #available = true;
+  /** Size of the list as last read, in bytes; 0 if it had not changed. */
   #bytes = 0;
   /** When the platform last answered. */
   lastReadAt = -Infinity;
@@ -31,17 +36,21 @@
     return this.#hosts;
   }
 
-  /** When a host was first read in the list, as it stands there now. */
+  /**
+   * When this process first read a host in the list. A host that disappeared
+   * from the list and came back counts from its return; -Infinity if it is not
+   * listed.
+   */
   appearedAt(name: string): number {
     return this.#appearedAt.get(name) ?? -Infinity;
   }
 
-  /** Hosts of a role. */
+  /** Listed hosts that have a role. */
   withRole(role: backingServices.HostRole): backingServices.Host[] {
     return [...this.#hosts.values()].filter((host) => host.role === role);
   }
 
-  /** Reads the list again and again until the signal aborts. */
+  /** Reads the list periodically until the signal aborts. */
   async run(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
       await this.refresh();
@@ -54,7 +63,7 @@
     }
   }
 
-  /** Reads the list once; an outage keeps what was last read. */
+  /** Reads the list once. If that fails, the list last read stays. */
   async refresh(): Promise<void> {
     const { hostList, logger } = this.parameters;
     const read = await hostList.read();
--- a/packages/daemon/src/membership/in_force_acks.ts
+++ b/packages/daemon/src/membership/in_force_acks.ts
@@ -2,33 +2,45 @@
 import * as wire from "@geraniumkeel/wire";
 import type * as memberTable from "./member_table.ts";
 
-/** Acknowledgements heard within this time travel in one message. */
+/** Acknowledgements received within this time are sent in one message. */
 const BATCH_MILLISECONDS = 10;
 
-/** What acknowledgements need of the links. */
+/** What `InForceAcks` is created with. */
 export interface InForceAcksParameters {
   members: memberTable.MemberTable;
+  /** Hosts that this entry has a link to. */
   linked: () => string[];
+  /** Sends a message to a linked host; false if there is no link. */
   send: (host: string, message: wire.Message) => boolean;
 }
 
 /**
- * Acknowledges a revision back along the way it was pushed: each entry tells the
- * one it got it from, and passes on what it is told. Flooding every entry's new
- * revision to all others took 181 KB a change at each of 60 entries; this way an
- * acknowledgement crosses as many links as the push did.
+ * Acknowledges that a revision of the configuration is in force.
+ * Acknowledgements go back along the path of the push: each entry sends its
+ * own, and those that it receives, to its parent, the entry that pushed the
+ * revision to it. So an acknowledgement crosses as many links as the push did.
+ * If every entry sent its new revision to all others instead, each change would
+ * cost 181 KB at each of 60 entries.
  */
 export class InForceAcks {
   readonly #changed = new common.ChangeNotice();
   #revision = 0;
-  /** Who pushed it here; `undefined` where it was accepted or read. */
+  /**
+   * The host that pushed the revision to this entry; `undefined` if this entry
+   * accepted the change itself or read it from the store.
+   */
   #parent: string | undefined;
-  /** Hosts to be told of, upwards. */
+  /**
+   * Hosts that have the revision in force and are not yet reported to the
+   * parent.
+   */
   #unsent = new Set<string>();
 
   constructor(readonly parameters: InForceAcksParameters) {}
 
-  /** A revision is in force here; `parent` pushed it. */
+  /**
+   * Records that a revision is in force here, and which host pushed it, if any.
+   */
   begin(revision: number, parent: string | undefined): void {
     if (revision <= this.#revision) {
       this.#adoptParent(revision, parent);
@@ -40,7 +52,10 @@
     this.#queueAll();
   }
 
-  /** A host is known to have a revision in force. */
+  /**
+   * Records that a host has a revision in force, and queues the
+   * acknowledgement.
+   */
   confirm(host: string, revision: number): void {
     const isNew = this.parameters.members.learnRevision(host, revision);
     if (!isNew || revision < this.#revision) return;
@@ -48,7 +63,7 @@
     this.#changed.announce();
   }
 
-  /** Passes acknowledgements on until the signal aborts. */
+  /** Sends acknowledgements to the parent until the signal aborts. */
   async run(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
       this.#flush();
@@ -57,7 +72,10 @@
     }
   }
 
-  /** Who read it from the store reports to whoever pushes it later. */
+  /**
+   * Makes a host that pushes the current revision the parent of an entry that
+   * had read this revision from the store.
+   */
   #adoptParent(revision: number, parent: string | undefined): void {
     if (revision !== this.#revision || parent === undefined) return;
     if (this.#parent !== undefined) return;
@@ -84,7 +102,8 @@
       this.#unsent.clear();
       return;
     }
-    // The parent is gone: any neighbour is on some way to where it is awaited.
+    // The link to the parent is lost. Any neighbour can forward the
+    // acknowledgements to the entry that waits for them.
     this.#parent = this.parameters.linked()[0];
   }
 }
--- a/packages/daemon/src/membership/member_table.ts
+++ b/packages/daemon/src/membership/member_table.ts
@@ -1,24 +1,25 @@
 import * as common from "@geraniumkeel/common";
 import * as wire from "@geraniumkeel/wire";
 
-/** Time for which a member that is gone is remembered. */
+/** Time for which a departed member is remembered. */
 const DEPARTED_RETENTION_MILLISECONDS = 120_000;
 
-/** A member and when this process last changed its record. */
+/** The record of a member, and when this process last changed it. */
 interface StoredRecord {
   member: wire.Member;
   changedAt: number;
 }
 
 /**
- * The entries as known here. Only a member itself raises its counter; others
- * may only worsen its state at the same counter. So a late rumour never
- * overrides what the member said of itself since.
+ * The entries of the deployment, as this process knows them by gossip. Only a
+ * member itself raises the counter of its record; other members may only change
+ * its state for the worse at the same counter. So a late message about a member
+ * never overrides a newer record that the member itself has sent.
  */
 export class MemberTable {
   readonly changed = new common.ChangeNotice();
   readonly #records = new Map<string, StoredRecord>();
-  /** Hosts whose record changed since `takeChanges`. */
+  /** Hosts whose record changed since the last call of `takeChanges`. */
   readonly #changedHosts = new Set<string>();
   #self: wire.Member;
 
@@ -30,8 +31,9 @@
     this.#self = {
       ...self,
       state: wire.MemberState.Alive,
-      // A replacement at the same name must outrank its predecessor. Wall-clock
-      // time does so nearly always; where it went back, `merge` raises it.
+      // The record of a new process must outrank that of an earlier process on
+      // the same host. The wall-clock time nearly always ensures this. If the
+      // clock was set back, `merge` raises the counter.
       counter: wallClock(),
       revision: 0,
       weight: 1,
@@ -49,12 +51,12 @@
     return [...this.#records.values()].map(({ member }) => member);
   }
 
-  /** Members that are not gone, this process included. */
+  /** Members that have not departed, including this process. */
   get present(): wire.Member[] {
     return this.all.filter((one) => one.state !== wire.MemberState.Gone);
   }
 
-  /** Members that take work, this process included unless it drains. */
+  /** Members that accept work, including this process unless it drains. */
   get alive(): wire.Member[] {
     return this.all.filter((one) => one.state === wire.MemberState.Alive);
   }
@@ -65,8 +67,9 @@
   }
 
   /**
-   * The same for tables that know the same of all present members. Revisions
-   * are left out: they spread by acknowledgements and lag behind for a moment.
+   * A hash that is equal for tables with equal records of all present members.
+   * Revisions are left out, because acknowledgements spread them separately and
+   * with a short delay.
    */
   get digest(): string {
     const known = this.present
@@ -77,7 +80,7 @@
     return common.hash64(known.join("\n"));
   }
 
-  /** Changes what this process says of itself. */
+  /** Changes this process's own record and raises its counter. */
   updateSelf(change: Partial<Pick<wire.Member, "state" | "weight">>): void {
     const counter = this.#self.counter + 1;
     this.#self = { ...this.#self, ...change, counter };
@@ -85,8 +88,9 @@
   }
 
   /**
-   * Notes the revision in force here. It goes out with the next record and not
-   * in one of its own: acknowledgements tell those who wait for it.
+   * Records the revision in force here. The change alone is not gossiped: it
+   * goes out with the record's next change, and acknowledgements report the
+   * revision to those that wait for it.
    */
   noteRevision(revision: number): void {
     this.#self = { ...this.#self, revision };
@@ -97,7 +101,10 @@
     this.changed.announce();
   }
 
-  /** Notes a revision that a member has; returns whether it was news. */
+  /**
+   * Records a member's revision; returns whether it is higher than the known
+   * one.
+   */
   learnRevision(host: string, revision: number): boolean {
     const entry = this.#records.get(host);
     if (!entry || entry.member.revision >= revision) return false;
@@ -106,7 +113,9 @@
     return true;
   }
 
-  /** Takes in a record heard from a peer; returns whether it was news. */
+  /**
+   * Merges a record received from a peer; returns whether it changed the table.
+   */
   merge(received: wire.Member): boolean {
     if (received.host === this.#self.host) return this.#refuteRecord(received);
     const known = this.#records.get(received.host)?.member;
@@ -119,7 +128,10 @@
     return true;
   }
 
-  /** Notes that a member does not answer; it may refute. */
+  /**
+   * Marks a member that does not answer as suspect. The member refutes this by
+   * a record with a higher counter.
+   */
   suspect(host: string): void {
     const known = this.#records.get(host)?.member;
     if (known && known.state < wire.MemberState.Suspect) {
@@ -127,7 +139,10 @@
     }
   }
 
-  /** Turns suspicions that nobody refuted into departures. */
+  /**
+   * Marks members as departed that have been suspect for the given time, and
+   * deletes departed members after their retention period.
+   */
   expire(departedAfterMilliseconds: number): void {
     const now = this.clock();
     for (const [host, { member, changedAt }] of this.#records) {
@@ -141,7 +156,7 @@
     }
   }
 
-  /** Records changed since the last call. */
+  /** Returns the records that changed since the last call. */
   takeChanges(): wire.Member[] {
     const changes = [...this.#changedHosts].flatMap(
       (host) => this.get(host) ?? [],
@@ -150,7 +165,10 @@
     return changes;
   }
 
-  /** A rumour about this process itself is answered by a higher counter. */
+  /**
+   * Raises this process's own counter above a record about it that differs from
+   * its own, so that its own record prevails. Returns whether it did.
+   */
   #refuteRecord(received: wire.Member): boolean {
     if (received.counter < this.#self.counter) return false;
     const same =
--- a/packages/daemon/src/membership/member_table_test.ts
+++ b/packages/daemon/src/membership/member_table_test.ts
@@ -46,8 +46,8 @@
   t.is(table.get("other")?.revision, 0);
 });
 
-// One neighbour cannot reach a member and suspects it; the member is well, hears
-// of it, and says so itself with a higher counter.
+// One neighbour cannot reach a member and suspects it. The member is alive,
+// receives the suspicion, and refutes it by a record with a higher counter.
 test("a suspicion is refuted by the member itself", (t) => {
   const { table } = fixture();
   table.merge(member());
@@ -57,7 +57,7 @@
   t.is(table.get("other")?.state, wire.MemberState.Alive);
 });
 
-test("a rumour about this process is answered with a higher counter", (t) => {
+test("a suspicion about this process raises its own counter", (t) => {
   const { table } = fixture();
   const { counter } = table.self;
   table.merge({ ...table.self, state: wire.MemberState.Suspect });
@@ -65,9 +65,10 @@
   t.is(table.self.state, wire.MemberState.Alive);
 });
 
-// The host was replaced and its clock went back: the record of the predecessor
-// outranks the new process, until that raises its own counter above it.
-test("a predecessor's record is outranked by the replacement", (t) => {
+// The host was replaced and its clock was set back, so the record of the
+// earlier process outranks that of the new one until the new one raises its own
+// counter.
+test("a new process on a host outranks the record of the earlier one", (t) => {
   const { table } = fixture();
   const counter = table.self.counter + 1_000;
   table.merge({ ...table.self, incarnation: "zero", counter });
@@ -75,7 +76,7 @@
   t.is(table.get("self")?.incarnation, "one");
 });
 
-test("a suspect that does not refute is gone, and later forgotten", (t) => {
+test("a suspect that does not refute becomes departed and is later deleted", (t) => {
   const { table, advance } = fixture();
   table.merge(member());
   table.suspect("other");
@@ -88,7 +89,7 @@
   t.is(table.get("other"), undefined);
 });
 
-test("tables that know the same have one digest, whatever the revisions", (t) => {
+test("tables with equal records have equal digests, whatever the revisions", (t) => {
   const { table: one } = fixture({ host: "one", wallClock: 1_000 });
   const { table: two } = fixture({ host: "two", wallClock: 2_000 });
   one.merge(member({ revision: 1 }));
@@ -100,9 +101,9 @@
   t.is(one.digest, two.digest);
 });
 
-// Two processes of one name started at different times: neither takes the
-// record of the other for its own, so their digests differ until both told it.
-test("a record of oneself with another counter never counts as the same", (t) => {
+// Two processes with the same host name started at different times. Neither
+// takes the other's record for its own, so their digests differ.
+test("tables whose own records differ only in the counter have other digests", (t) => {
   for (const wallClock of [999, 1_001]) {
     const { table: one } = fixture();
     const { table: two } = fixture({ wallClock });
--- a/packages/daemon/src/membership/overlay.ts
+++ b/packages/daemon/src/membership/overlay.ts
@@ -1,13 +1,15 @@
 import * as common from "@geraniumkeel/common";
 
-/** Up to this many entries, each links to every other. */
+/** Largest number of entries at which each has a link to every other. */
 export const FULL_MESH_LIMIT = 8;
 
 /**
- * The entries that `self` should have a link with. Beyond a full mesh they
- * stand on a ring in hash order, and each links to those 1, 2, 4, 8 … places
- * on, and so to those as far back: 2·log2(n) links, and news crosses n entries
- * in at most log2(n) hops. All entries with the same view choose the same links.
+ * Returns the entries that `self` should have a link to. If there are too many
+ * for a full mesh, the entries form a ring in the order of their hashes, and
+ * each has links to those at distances 1, 2, 4, 8 … in both directions. This
+ * gives each of n entries at most 2·log2(n) links (rounded up), and a message
+ * reaches all in at most log2(n) hops (rounded up). Entries that know the same
+ * hosts agree on the links.
  */
 export function neighbours(self: string, hosts: string[]): Set<string> {
   const others = hosts.filter((host) => host !== self);
--- a/packages/daemon/src/membership/overlay_test.ts
+++ b/packages/daemon/src/membership/overlay_test.ts
@@ -7,7 +7,10 @@
   return Array.from({ length: count }, (_, index) => `entry-${index}`);
 }
 
-/** Hops that news needs from one host to all, by breadth-first search. */
+/**
+ * Number of hops in which a message from one host reaches all, by breadth-first
+ * search.
+ */
 function hopsFrom(start: string, all: string[]): number {
   const seen = new Set([start]);
   let frontier = [start];
@@ -31,7 +34,7 @@
   t.is(overlay.neighbours("entry-0", hosts(7)).size, 6);
 });
 
-test("links are wanted by both ends", (t) => {
+test("if one entry wants a link to another, the other wants it too", (t) => {
   const all = hosts(60);
   for (const host of all) {
     for (const other of overlay.neighbours(host, all)) {
@@ -40,7 +43,7 @@
   }
 });
 
-test("links and hops grow with the logarithm of the entries", (t) => {
+test("links and hops grow with the logarithm of the number of entries", (t) => {
   for (const count of [20, 60, 330]) {
     const all = hosts(count);
     const bound = 2 * Math.ceil(Math.log2(count));
--- a/packages/daemon/src/membership/peer_links.ts
+++ b/packages/daemon/src/membership/peer_links.ts
@@ -10,22 +10,28 @@
 import * as inForceAcks from "./in_force_acks.ts";
 import * as overlay from "./overlay.ts";
 
-/** Delay before the higher-named end dials, which normally waits to be dialled. */
+/**
+ * Delay before the entry with the later name dials. Normally the other entry
+ * has dialled by then.
+ */
 const SECOND_DIALLER_DELAY_MILLISECONDS = 1_500;
+/** Shortest and longest pause between attempts to open a link. */
 const MIN_PAUSE_MILLISECONDS = 50;
 const MAX_PAUSE_MILLISECONDS = 2_000;
-/** Changes heard within this time are passed on in one message. */
+/** Member changes within this time are sent in one message. */
 const GOSSIP_BATCH_MILLISECONDS = 10;
-/** Comparing members with one peer repairs whatever gossip missed. */
+/** Time between comparisons of the member table with that of a random peer. */
 const COMPARE_INTERVAL_MILLISECONDS = 30_000;
 const EXPIRY_CHECK_MILLISECONDS = 250;
-/** An on-demand link without use is closed after this time. */
+/** Time without use after which an on-demand link is closed. */
 const MAX_IDLE_MILLISECONDS = 60_000;
 
-/** Time after which a push that had no effect is repeated. */
+/**
+ * Time after which a push is repeated to a peer that still lacks the revision.
+ */
 const PUSH_RETRY_MILLISECONDS = 1_000;
 
-/** What the links to peers need. */
+/** What `PeerLinks` is created with. */
 export interface PeerLinksParameters {
   settings: settingsModule.EntrySettings;
   incarnation: string;
@@ -37,9 +43,9 @@
   hosts: hostView.HostView;
   currentConfiguration: configurationHolder.ConfigurationHolder;
   certificateAuthority: string | undefined;
-  /** Handles messages of other slices. */
+  /** Handles messages that belong to other modules. */
   onMessage: (host: string, link: wire.Link, message: wire.Message) => void;
-  /** Told when a peer is linked. */
+  /** Called when a link to a peer is open. */
   onLinked: (host: string) => void;
 }
 
@@ -47,19 +53,24 @@
 interface Peer {
   link: wire.Link;
   incarnation: string;
-  /** Highest revision it is known to have, or was sent. */
+  /** Highest revision that the peer is known to have or was sent. */
   revision: number;
+  /** When the configuration was last pushed to the peer. */
   pushedAt: number;
 }
 
-/** Links to other entries, and the gossip that flows over them. */
+/**
+ * Links from this entry to its neighbours and, on demand, to any other entry.
+ * Over them, entries gossip their member tables, push the configuration, and
+ * exchange the messages of other modules.
+ */
 export class PeerLinks {
   readonly #peers = new Map<string, Peer>();
-  /** Dialling tasks by host. */
+  /** Dialling tasks of the neighbours, by host. */
   readonly #dialTasks = new Map<string, AbortController>();
   readonly #linksChanged = new common.ChangeNotice();
   #linkNumber = 0;
-  /** When anything was last heard of any peer. */
+  /** When a message or heartbeat last came from any peer. */
   lastReceivedAt = common.now();
 
   /** Acknowledgements of the revision in force. */
@@ -73,7 +84,7 @@
     });
   }
 
-  /** Names of the peers linked now. */
+  /** Hosts that there is a link to now. */
   get linked(): string[] {
     return [...this.#peers.keys()];
   }
@@ -100,7 +111,7 @@
     this.parameters.lifeCycle.run("peer", () => this.#serve(link));
   }
 
-  /** Sends to one linked peer; false when there is no link. */
+  /** Sends to one linked peer; returns false if there is no link. */
   send(host: string, message: wire.Message): boolean {
     const peer = this.#peers.get(host);
     peer?.link.send(message);
@@ -115,8 +126,8 @@
   }
 
   /**
-   * Sends to any entry, opening a link on demand when it is not a neighbour.
-   * False when it cannot be reached within the connect timeout.
+   * Sends to any entry; opens a link on demand if there is none. Returns false
+   * if the entry cannot be reached within the connect timeout.
    */
   async sendTo(host: string, message: wire.Message): Promise<boolean> {
     if (this.send(host, message)) return true;
@@ -140,7 +151,8 @@
     const view = this.parameters.currentConfiguration.view;
     if (!peer || !view || peer.revision >= view.head.revision) return;
     const known = peer.revision;
-    // What the peer holds is told by its revision: every section changed since.
+    // The peer has every section up to its revision, and needs those that
+    // changed later.
     const sections = this.parameters.currentConfiguration
       .sectionsMissingFor({})
       .filter((section) => section.revision > known);
@@ -150,7 +162,10 @@
     peer.link.send({ kind, head: view.head, sections });
   }
 
-  /** Keeps one dialling task per wanted neighbour. */
+  /**
+   * Starts a dialling task for each new neighbour, and stops those of former
+   * ones.
+   */
   async #reconcile(signal: AbortSignal): Promise<void> {
     const { members, hosts, lifeCycle } = this.parameters;
     while (!signal.aborted) {
@@ -183,7 +198,10 @@
     return overlay.neighbours(settings.host, [...names]);
   }
 
-  /** One task per neighbour: keeps a link to it while it is wanted. */
+  /**
+   * Dials a neighbour whenever there is no link to it, and marks it as suspect
+   * if that fails for too long.
+   */
   async #maintainLink(host: string, signal: AbortSignal): Promise<void> {
     const { settings, members, random } = this.parameters;
     const backOff = new common.BackOff({
@@ -192,8 +210,8 @@
       random,
     });
     let lastLinkedAt = common.now();
-    // Both ends want the link; without an order they would dial at once and
-    // replace each other's connection.
+    // Both ends want the link. Without a fixed order, both would dial at the
+    // same moment and replace each other's connection.
     if (settings.host > host) {
       await common.sleep(SECOND_DIALLER_DELAY_MILLISECONDS, signal);
     }
@@ -272,13 +290,14 @@
     };
     this.#peers.set(host, peer);
     this.#noteRevision(host, hello.revision);
-    // Configuration goes over neighbours' links, so they are looked after in
-    // full; there are many more partners in lending, who can wait.
+    // Links to neighbours carry the configuration, so they always get the full
+    // heartbeat rate. The many on-demand links, to partners in lending, need
+    // less.
     link.isBusy = () => this.#dialTasks.has(host);
     link.onHeartbeat = (beat) => this.#noteRevision(host, beat.revision);
     logger.event(common.EventCode.LinkEstablished, { peer: host });
     this.#linksChanged.announce();
-    // A process that starts is known to nobody, and knows nobody.
+    // A process that starts knows no other entry, and no entry knows it.
     link.send({ kind: wire.MessageKind.Members, members: [members.self] });
     this.#compareMembers(link);
     this.#pushTo(host);
@@ -304,7 +323,10 @@
     logger.event(code, { peer: host, reason: link.end });
   }
 
-  /** A peer with a newer revision than ours is asked for it. */
+  /**
+   * Records the revision that a peer reports. Requests the configuration from a
+   * peer that has a newer one, and pushes it to a peer that has an older one.
+   */
   #noteRevision(host: string, revision: number): void {
     const { currentConfiguration: currentConfiguration } = this.parameters;
     this.lastReceivedAt = common.now();
@@ -316,7 +338,8 @@
       const kind = wire.MessageKind.ConfigurationRequest;
       peer?.link.send({ kind, held: currentConfiguration.sectionRevisions() });
     } else if (revision < currentConfiguration.revision && peer) {
-      // A heartbeat may have crossed the push; one still old later did not.
+      // A heartbeat with an old revision may have crossed the last push. If it
+      // comes later than that, the push had no effect and is repeated.
       const age = common.now() - peer.pushedAt;
       if (age > PUSH_RETRY_MILLISECONDS) peer.revision = revision;
       this.#pushTo(host);
@@ -369,8 +392,9 @@
   }
 
   /**
-   * Whatever gossip missed is found by comparing. All members were sent in place
-   * of a digest once; at 330 entries that was a tenth of the budget of a node.
+   * Sends a peer the digest of the member table, so that it sends its members
+   * if they differ. This repairs what gossip missed. Sending all members in
+   * place of a digest would use a tenth of a node's budget at 330 entries.
    */
   #compareMembers(link: wire.Link): void {
     const { digest } = this.parameters.members;
@@ -402,7 +426,7 @@
     }
   }
 
-  /** Ends on-demand links that are no neighbour's and carry nothing. */
+  /** Closes links to non-neighbours that have not been used recently. */
   #closeIdle(): void {
     const oldest = common.now() - MAX_IDLE_MILLISECONDS;
     for (const [host, { link }] of this.#peers) {
--- a/packages/daemon/src/mesh/entry_mesh.ts
+++ b/packages/daemon/src/mesh/entry_mesh.ts
@@ -253,7 +253,7 @@
     }
   }
 
-  /** Resolves when the table is in a later epoch than this entry's row. */
+  /** Resolves when the table's epoch is no longer that of this entry's row. */
   async #nextEpoch(signal: AbortSignal): Promise<void> {
     const { epoch } = this.parameters.rows;
     const isOver = () => this.#ownRevision?.epoch !== epoch.number;
@@ -325,8 +325,8 @@
   }
 
   /**
-   * Dials an entry whenever there is no link to it. Forgets it, and removes its
-   * row from the store, after a minute without a message.
+   * Dials an entry whenever there is no link to it. Without a message for
+   * `FORGET_AFTER_MILLISECONDS`, forgets the entry and removes its row.
    */
   async #maintainLink(host: string, signal: AbortSignal): Promise<void> {
     const { self, random, rows } = this.parameters;
--- a/packages/wire/src/compact_mesh_heartbeat.ts
+++ b/packages/wire/src/compact_mesh_heartbeat.ts
@@ -2,20 +2,21 @@
 import type * as mesh from "./mesh.ts";
 import * as messageKind from "./message_kind.ts";
 
-/** What the flags of a beat say, a bit each. */
+/** Flags of a heartbeat, one bit each. */
 enum Flag {
   Ready = 1,
   Leaving = 2,
   StoreReachable = 4,
 }
 
-/** Numbers of a beat before its counts by runner. */
+/** Number of list items that precede the request counts by runner. */
 const HEAD_LENGTH = 10;
 
 /**
- * A beat between entries as a plain list, which goes over each link several times a
- * second: by names it takes three times the bytes. Ages are whole milliseconds, rounded
- * to the side on which a proof counts as older than it is.
+ * Packs a heartbeat between entries into a plain list. Each link carries
+ * several a second; an object with field names would take three times the
+ * bytes. Ages are rounded to integer milliseconds, in the direction that makes
+ * a proof appear older than it is.
  */
 export function meshHeartbeatToList(heartbeat: mesh.MeshHeartbeat): unknown[] {
   const { configuration, runners } = heartbeat;
@@ -34,7 +35,7 @@
   ];
 }
 
-/** The beat of a list, or `undefined` if it is none. */
+/** Unpacks a list; `undefined` if it is no valid heartbeat. */
 export function meshHeartbeatFromList(
   list: unknown[],
 ): mesh.MeshHeartbeat | undefined {
@@ -67,7 +68,10 @@
   );
 }
 
-/** Pairs of runner and count, which follow each other in a flat list. */
+/**
+ * Pairs of runner and count from a flat list in which they alternate;
+ * `undefined` if an item has the wrong type.
+ */
 function countsOf(list: unknown[]): [string, number][] | undefined {
   const counts: [string, number][] = [];
   for (let index = 0; index < list.length; index += 2) {
