--- a/packages/daemon/src/configuration/configuration_holder.ts
+++ b/packages/daemon/src/configuration/configuration_holder.ts
@@ -2,23 +2,26 @@
 import * as configuration from "@geraniumkeel/configuration";
 import type * as wire from "@geraniumkeel/wire";
 
-/** What became of a configuration that was heard. */
+/** Outcome of a received configuration. */
 export enum AdoptOutcome {
   Adopted = "adopted",
-  /** Not newer than the one in force: ignored. */
+  /** It is not newer than the one in force, and was ignored. */
   Old = "old",
-  /** Sections are missing; they must be asked for. */
+  /** Some of its sections are missing; the caller must request them. */
   Incomplete = "incomplete",
 }
 
 /**
- * The configuration in force in this process. Its revision only grows: a stale
- * answer of the store or of a peer would otherwise undo an accepted change.
+ * Holds the configuration in force in this process. Its revision never goes
+ * down: otherwise an outdated answer of the store or of a peer would undo an
+ * accepted change.
  */
 export class ConfigurationHolder {
   readonly changed = new common.ChangeNotice();
   #view: configuration.ConfigurationView | undefined;
-  /** Highest revision heard of, in force or not. */
+  /**
+   * Highest revision that a peer or the store has named, in force here or not.
+   */
   #highestKnownRevision = 0;
 
   constructor(
@@ -29,7 +32,7 @@
     },
   ) {}
 
-  /** The configuration in force, once there is one. */
+  /** The configuration in force; `undefined` before the first. */
   get view(): configuration.ConfigurationView | undefined {
     return this.#view;
   }
@@ -44,17 +47,20 @@
     return this.#highestKnownRevision > this.revision;
   }
 
-  /** Notes a revision named by a peer or the store. */
+  /** Records a revision that a peer or the store named. */
   noteRevision(revision: number): void {
     this.#highestKnownRevision = Math.max(this.#highestKnownRevision, revision);
   }
 
-  /** Section revisions held, to ask only for the others. */
+  /**
+   * Revision of each section in force, so that only newer sections are
+   * requested.
+   */
   sectionRevisions(): Record<string, number> {
     return this.#view?.head.sections ?? {};
   }
 
-  /** What a process that holds `held` lacks. */
+  /** Sections that a process with other revisions of them lacks. */
   sectionsMissingFor(
     sectionRevisions: Record<string, number>,
   ): wire.SectionPush[] {
@@ -65,7 +71,10 @@
       .map(([name, revision]) => ({ name, revision, text: view.texts[name] }));
   }
 
-  /** Puts a committed configuration in force if it is newer. */
+  /**
+   * Puts a committed configuration in force if it is newer. The pushed
+   * sections, with those in force, must include all sections of its head.
+   */
   adopt(head: configuration.Head, pushed: wire.SectionPush[]): AdoptOutcome {
     this.noteRevision(head.revision);
     if (head.revision <= this.revision) {
--- a/packages/daemon/src/configuration/configuration_store.ts
+++ b/packages/daemon/src/configuration/configuration_store.ts
@@ -6,12 +6,16 @@
 
 const HEAD_KEY = "configuration/head";
 /**
- * Revisions that are skipped in a new epoch of the table. Changes were accepted in the
- * seconds that it has lost, and are in force: a change under one of their numbers would
- * never come into force where they are. Fewer than this fit into those seconds.
+ * Number of revisions that the first change in a new epoch of the table skips.
+ * The table was restored from a copy and has lost the changes of its last
+ * seconds, which are still in force at some entries. Those entries would ignore
+ * a change with one of the same revisions. There are fewer changes than this in
+ * the lost seconds.
  */
 const SKIPPED_REVISIONS = 10_000;
-/** Replaced sections kept, for readers that still hold an older head. */
+/**
+ * Number of replaced sections that stay stored, for readers of an older head.
+ */
 const MAX_REPLACED_SECTIONS = 64;
 
 /** A section row that a later revision replaced. */
@@ -24,19 +28,19 @@
 interface StoredHead extends configuration.Head {
   replaced: ReplacedSection[];
   /**
-   * Epoch of the table in which it was written. One of an earlier epoch comes from a
-   * copy: newer ones may have been lost.
+   * Epoch of the table in which the head was written. A head of an earlier
+   * epoch comes from a copy of the table, and newer heads may have been lost.
    */
   epoch: number;
 }
 
-/** The head and the table revision on which a change must be based. */
+/** A head, and the revision of its row on which a change must be based. */
 export interface ReadHead {
   head: StoredHead;
   rowRevision: backingServices.Revision;
 }
 
-/** What became of a change. */
+/** Outcome of a change to the configuration. */
 export type CommitOutcome =
   | {
       kind: "committed";
@@ -47,7 +51,10 @@
   | { kind: "not-written"; reason: string }
   | { kind: "given-up"; reason: string };
 
-/** The configuration document in the table service. */
+/**
+ * Reads and writes the configuration in the table service. Each section of the
+ * document is a row of its own, and the head row lists their revisions.
+ */
 export class ConfigurationStore {
   constructor(
     readonly parameters: {
@@ -71,8 +78,9 @@
   }
 
   /**
-   * Reads the sections that differ from those held. `undefined`: a section row
-   * is gone because the head is old by now; read the head again.
+   * Reads the sections of a head whose revisions differ from the given ones.
+   * `undefined` if a section row has been deleted because the head is outdated;
+   * the caller then reads the head again.
    */
   async readSections(
     head: configuration.Head,
@@ -95,14 +103,14 @@
   }
 
   /**
-   * Commits a document on top of `base`. Racing changes meet at the head row:
-   * one commits, the others learn the winner's revision.
+   * Commits a document that replaces that of `base`. Of concurrent changes with
+   * the same base, one is committed; the others get a conflict with its head.
    */
   async commit(parameters: {
     base: ReadHead | undefined;
     baseTexts: configuration.Sections;
     document: configuration.Document;
-    /** Revision in force here, which the new one must outdo. */
+    /** Revision in force here; the new revision is higher. */
     inForce: number;
     signal?: AbortSignal;
   }): Promise<CommitOutcome> {
@@ -131,7 +139,8 @@
     switch (outcome.kind) {
       case backingServices.DefiniteKind.Committed: {
         if (outcome.revision.epoch !== epoch) {
-          // Written in an epoch that began meanwhile, under a number of the last one.
+          // A new epoch began during the write, and the revision was chosen for
+          // the previous epoch.
           const reason = "the table came back from a copy";
           return { kind: "given-up", reason };
         }
@@ -155,7 +164,7 @@
   }
 }
 
-/** The head without what only the store needs. */
+/** The head without the fields that only the store needs. */
 export function publicHead(stored: configuration.Head): configuration.Head {
   const { revision, nonce, presetInForce, sections } = stored;
   return { revision, nonce, presetInForce, sections };
@@ -173,7 +182,7 @@
   };
 }
 
-/** A revision above all that were in force anywhere. */
+/** Returns a revision above all that were in force at any entry. */
 function nextRevision(
   base: ReadHead | undefined,
   inForce: number,
--- a/packages/daemon/src/configuration/configuration_sync.ts
+++ b/packages/daemon/src/configuration/configuration_sync.ts
@@ -4,15 +4,16 @@
 import type * as copiedHeadPolicyModule from "./copied_head_policy.ts";
 import * as restoreConfiguration from "./restore_configuration.ts";
 
-/** Epoch of a head that is not there. */
+/** Stands for the epoch of the head if the table has none. */
 const NO_HEAD_EPOCH = -1;
-/** Reads of the head that all entries together may cause in a second. */
+/** Largest number of reads of the head a second by all entries together. */
 const READS_PER_SECOND = 100;
 
 /**
- * Anti-entropy with the store: whatever pushes missed is found by reading the
- * head again and again. The period grows with the number of entries, so that
- * the load on the table service stays bounded.
+ * Reads the head from the store periodically until the signal aborts, and puts
+ * it in force if it is newer. So an entry gets changes that no peer pushed to
+ * it. The period grows with the number of entries, so that the load on the
+ * table service stays bounded.
  */
 export async function syncWithStore(parameters: {
   currentConfiguration: configurationHolder.ConfigurationHolder;
@@ -22,7 +23,7 @@
   random: common.Random;
   periodMilliseconds: number;
   entryCount: () => number;
-  /** Called whenever the store has answered. */
+  /** Called after each read that the store answered. */
   onAnswer: () => void;
   signal: AbortSignal;
 }): Promise<void> {
@@ -44,18 +45,17 @@
   }
 }
 
-/** Reads the head and puts it in force if newer; false without an answer. */
+/**
+ * Reads the head once, and puts it in force if it is newer or restores it if it
+ * comes from a copy. Returns false if the store did not answer.
+ */
 async function readOnce(parameters: {
   currentConfiguration: configurationHolder.ConfigurationHolder;
   store: configurationStore.ConfigurationStore;
   copiedHead: copiedHeadPolicyModule.CopiedHeadPolicy;
   logger: common.Logger;
 }): Promise<boolean> {
-  const {
-    currentConfiguration: currentConfiguration,
-    store,
-    copiedHead,
-  } = parameters;
+  const { currentConfiguration, store, copiedHead } = parameters;
   const read = await store.readHead();
   if (read.isErr()) return false;
   const headEpoch = read.value?.head.epoch ?? NO_HEAD_EPOCH;
@@ -79,7 +79,10 @@
   return true;
 }
 
-/** Writes what is in force again, in place of a head that comes from a copy. */
+/**
+ * Writes the configuration in force again, in place of a head that comes from a
+ * copy.
+ */
 async function restore(
   parameters: {
     currentConfiguration: configurationHolder.ConfigurationHolder;
@@ -88,7 +91,7 @@
   },
   base: configurationStore.ReadHead | undefined,
 ): Promise<void> {
-  const { currentConfiguration: currentConfiguration, logger } = parameters;
+  const { currentConfiguration, logger } = parameters;
   const before = base?.head.revision ?? 0;
   if (
     !(await restoreConfiguration.restoreConfiguration({ ...parameters, base }))
--- a/packages/daemon/src/configuration/copied_head_policy_test.ts
+++ b/packages/daemon/src/configuration/copied_head_policy_test.ts
@@ -11,7 +11,9 @@
   epoch: backingServices.TableEpoch;
 }
 
-/** A process that holds a revision, or none, beside a table in its second epoch. */
+/**
+ * A process with a revision in force, or none, and a table in its second epoch.
+ */
 function createScene(
   state: { revision: number; behind?: boolean },
   sawBegin: boolean,
@@ -31,25 +33,27 @@
   return { policy: new copiedHeadPolicy.CopiedHeadPolicy(parameters), epoch };
 }
 
-// It would serve a configuration that was replaced, until the others have told.
-test("a process that holds nothing waits before it takes a head from a copy", (t) => {
-  const { policy: head } = createScene({ revision: 0 }, false);
-  t.false(head.mayAdopt(1));
-  t.true(head.mayAdopt(2));
+// Without the wait, the process would serve a replaced configuration until its
+// peers sent it the newer one.
+test("a process without a configuration waits before it adopts a head from a copy", (t) => {
+  const { policy } = createScene({ revision: 0 }, false);
+  t.false(policy.mayAdopt(1));
+  t.true(policy.mayAdopt(2));
 });
 
-test("a process that holds a configuration goes by the revision", (t) => {
-  const { policy: head } = createScene({ revision: 7 }, false);
-  t.true(head.mayAdopt(1));
+test("a process with a configuration may adopt a head from a copy at once", (t) => {
+  const { policy } = createScene({ revision: 7 }, false);
+  t.true(policy.mayAdopt(1));
 });
 
-// It holds what the copy had, and would put that above what was accepted since.
-test("a process that was not there before the return writes nothing again at once", (t) => {
-  const { policy: head } = createScene({ revision: 7 }, false);
-  t.false(head.mayRestore(1));
+// Such a process has the configuration of the copy in force. Written again, it
+// would replace changes that were accepted after the copy was made.
+test("a process that started in the new epoch does not restore its head at once", (t) => {
+  const { policy } = createScene({ revision: 7 }, false);
+  t.false(policy.mayRestore(1));
 });
 
-test("a process that was there writes again what is in force, unless it is behind", (t) => {
+test("a process from before the epoch restores its head unless it is behind", (t) => {
   t.true(createScene({ revision: 7 }, true).policy.mayRestore(1));
   t.false(createScene({ revision: 7 }, true).policy.mayRestore(2));
   const behind = createScene({ revision: 7, behind: true }, true);
--- a/packages/daemon/src/configuration/restore_configuration.ts
+++ b/packages/daemon/src/configuration/restore_configuration.ts
@@ -3,20 +3,18 @@
 import type * as configurationStore from "./configuration_store.ts";
 
 /**
- * Writes the configuration in force on top of an older head that the table has. What
- * operators were told is accepted stays so; one who changes the older head at the same
- * moment meets a conflict, or wins and is taken by all.
+ * Writes the configuration in force again, in place of an older head that the
+ * table has, so that changes that operators were told are accepted stay in
+ * force. If an operator changes the older head at the same moment, either that
+ * change gets a conflict, or it is committed and all entries adopt it. Returns
+ * whether the configuration was written.
  */
 export async function restoreConfiguration(parameters: {
   currentConfiguration: configurationHolder.ConfigurationHolder;
   store: configurationStore.ConfigurationStore;
   base: configurationStore.ReadHead | undefined;
 }): Promise<boolean> {
-  const {
-    currentConfiguration: currentConfiguration,
-    store,
-    base,
-  } = parameters;
+  const { currentConfiguration, store, base } = parameters;
   const { view } = currentConfiguration;
   if (!view) return false;
   const baseTexts = await textsOf(parameters);
@@ -30,17 +28,13 @@
   return true;
 }
 
-/** Section texts of the table's head; `undefined` if they cannot be read. */
+/** Section texts of the table's head; `undefined` if they are unreadable. */
 async function textsOf(parameters: {
   currentConfiguration: configurationHolder.ConfigurationHolder;
   store: configurationStore.ConfigurationStore;
   base: configurationStore.ReadHead | undefined;
 }): Promise<configuration.Sections | undefined> {
-  const {
-    currentConfiguration: currentConfiguration,
-    store,
-    base,
-  } = parameters;
+  const { currentConfiguration, store, base } = parameters;
   if (!base) return {};
   const ownRevisions = currentConfiguration.sectionRevisions();
   const read = await store.readSections(base.head, ownRevisions);
--- a/packages/daemon/src/main.ts
+++ b/packages/daemon/src/main.ts
@@ -13,7 +13,7 @@
   CannotListen = 3,
 }
 
-/** Runs the daemon until it is told to stop. */
+/** Runs the daemon until a signal stops it. */
 export async function main(argv: string[]): Promise<void> {
   const program = new commander.Command("geraniumkeeld")
     .description("load balancer process of an entry or upstream host")
@@ -56,7 +56,10 @@
   return undefined;
 }
 
-/** First signal: planned stop. Second: stop now, saying what is lost. */
+/**
+ * Stops the process on SIGTERM or SIGINT. The first signal drains it; a second
+ * one ends it at once and logs the number of requests that are lost.
+ */
 function stopOnSignals(
   running: runningProcess.RunningProcess,
   settings: settingsModule.Settings,
--- a/packages/daemon/src/membership/peer_links.ts
+++ b/packages/daemon/src/membership/peer_links.ts
@@ -237,13 +237,8 @@
   }
 
   async #dial(host: string): Promise<wire.Link | undefined> {
-    const {
-      members,
-      hosts,
-      settings,
-      currentConfiguration: currentConfiguration,
-      logger,
-    } = this.parameters;
+    const { members, hosts, settings, currentConfiguration, logger } =
+      this.parameters;
     const member = members.get(host);
     const base = member?.peerUrl ?? hosts.hosts.get(host)?.linkUrl;
     if (!base) return undefined;
@@ -265,13 +260,8 @@
   }
 
   async #serve(link: wire.Link): Promise<void> {
-    const {
-      settings,
-      currentConfiguration: currentConfiguration,
-      incarnation,
-      members,
-      logger,
-    } = this.parameters;
+    const { settings, currentConfiguration, incarnation, members, logger } =
+      this.parameters;
     link.closeOn(this.parameters.lifeCycle.signal);
     this.#linkNumber++;
     const linkNumber = this.#linkNumber;
@@ -291,8 +281,8 @@
     this.#peers.set(host, peer);
     this.#noteRevision(host, hello.revision);
     // Links to neighbours carry the configuration, so they always get the full
-    // heartbeat rate. The many on-demand links, to partners in lending, need
-    // less.
+    // heartbeat rate. The many on-demand links, over which entries lend each
+    // other account limits, need less.
     link.isBusy = () => this.#dialTasks.has(host);
     link.onHeartbeat = (beat) => this.#noteRevision(host, beat.revision);
     logger.event(common.EventCode.LinkEstablished, { peer: host });
@@ -328,7 +318,7 @@
    * peer that has a newer one, and pushes it to a peer that has an older one.
    */
   #noteRevision(host: string, revision: number): void {
-    const { currentConfiguration: currentConfiguration } = this.parameters;
+    const { currentConfiguration } = this.parameters;
     this.lastReceivedAt = common.now();
     const peer = this.#peers.get(host);
     if (peer) peer.revision = Math.max(peer.revision, revision);
@@ -347,8 +337,7 @@
   }
 
   #handle(host: string, link: wire.Link, message: wire.Message): void {
-    const { members, currentConfiguration: currentConfiguration } =
-      this.parameters;
+    const { members, currentConfiguration } = this.parameters;
     switch (message.kind) {
       case wire.MessageKind.Members:
         for (const member of message.members) members.merge(member);
--- a/packages/daemon/src/mesh/document_exchange.ts
+++ b/packages/daemon/src/mesh/document_exchange.ts
@@ -147,7 +147,7 @@
       peerVersion: number;
     },
   ): void {
-    const { name, kind, local: local, peerVersion: peerVersion } = document;
+    const { name, kind, local, peerVersion } = document;
     const { value, version } = local;
     if (!value || peerVersion >= version) return;
     const relay = this.#relays.get(name);
--- a/packages/daemon/src/mesh/entry_mesh.ts
+++ b/packages/daemon/src/mesh/entry_mesh.ts
@@ -112,7 +112,7 @@
     const heartbeatClock = this.#heartbeatClock;
     this.#documents = new documentExchange.DocumentExchange({
       ...parameters,
-      heartbeatClock: heartbeatClock,
+      heartbeatClock,
     });
   }
 
@@ -302,7 +302,7 @@
     const lastReceivedAt = common.now();
     this.#known.set(member.host, {
       member,
-      lastReceivedAt: lastReceivedAt,
+      lastReceivedAt,
       revision,
       dialling,
     });
--- a/packages/daemon/src/settings/listen.ts
+++ b/packages/daemon/src/settings/listen.ts
@@ -15,12 +15,15 @@
 /** An open listener. */
 export interface Listening {
   server: http.Server;
-  /** Base URL, with the port really taken. */
+  /** Base URL, with the port that the listener uses if port 0 was given. */
   url: string;
   port: number;
 }
 
-/** Opens a listener and hands it to the life-cycle. */
+/**
+ * Opens a listener, which the life-cycle closes. Fails if its certificate
+ * cannot be read or its address cannot be used.
+ */
 export async function listen(parameters: {
   name: string;
   listener: settings.Listener;
@@ -44,12 +47,12 @@
   return neverthrow.ok({ server: opened, url, port: address.port });
 }
 
-/** The WebSocket form of an HTTP base URL. */
+/** Returns the WebSocket URL for links to a process with an HTTP base URL. */
 export function linkUrl(base: string): string {
   return base.replace(/^http/, "ws") + LINK_PATH;
 }
 
-/** Path on which links are accepted. */
+/** URL path on which a process accepts links. */
 export const LINK_PATH = "/link";
 
 function createServer(
--- a/packages/daemon/src/settings/listen_test.ts
+++ b/packages/daemon/src/settings/listen_test.ts
@@ -52,7 +52,10 @@
       heartbeat,
       certificateAuthority,
     });
-  t.true((await dial(KEY)).isErr(), "the certificate is not trusted");
+  t.true(
+    (await dial(KEY)).isErr(),
+    "a dialler that does not trust the certificate fails",
+  );
   const wrong = await dial("wrong", ca);
   t.true(wrong.isErr() && wrong.error.refused);
   const link = (await dial(KEY, ca))._unsafeUnwrap();
@@ -63,7 +66,7 @@
   await dispatcher.destroy();
 });
 
-test("a missing certificate is a clear failure", async (t) => {
+test("a listener whose certificate file is missing fails with its name", async (t) => {
   const listener = tlsListener();
   const opened = await listenModule.listen({
     name: "callers",
@@ -73,7 +76,7 @@
   t.is(opened.isErr() && opened.error.listener, "callers");
 });
 
-test("without TLS only loopback is allowed", (t) => {
+test("a listener without TLS must use a loopback address", (t) => {
   const open = settings.LISTENER.safeParse({ address: "0.0.0.0", port: 80 });
   t.false(open.success);
   t.regex(open.error?.issues[0].message ?? "", /give tls/);
--- a/packages/daemon/src/settings/settings.ts
+++ b/packages/daemon/src/settings/settings.ts
@@ -1,12 +1,15 @@
 import * as zod from "zod";
 
-/** Role of a process. */
+/** Role of a process: it serves callers, or runs beside a back end. */
 export enum Role {
   Entry = "entry",
   Upstream = "upstream",
 }
 
-/** What kind of back end an upstream host has. */
+/**
+ * Kind of back end on an upstream host: an engine of a model, or an HTTP
+ * service.
+ */
 export enum BackEndKind {
   Model = "model",
   Plain = "plain",
@@ -45,7 +48,10 @@
   keyFile: text("the key's PEM file"),
 });
 
-/** Where a process listens. Without TLS only loopback is allowed. */
+/**
+ * Address and port on which a process listens. Without TLS the address must be
+ * a loopback one, because requests carry keys.
+ */
 export const LISTENER = zod
   .strictObject({
     address: text("an IP address").default("127.0.0.1"),
@@ -59,36 +65,44 @@
 
 /** Timings, in milliseconds. */
 export const TIMING = zod.strictObject({
-  heartbeat: milliseconds(250).meta({ description: "Between heartbeats." }),
+  heartbeat: milliseconds(250).meta({
+    description: "Time between heartbeats.",
+  }),
   silentAfter: milliseconds(1_000).meta({
-    description: "Silence after which a link is replaced.",
+    description: "Time without a message after which a link is replaced.",
   }),
   connectTimeout: milliseconds(1_000),
   settleAfter: milliseconds(3_000).meta({
-    description: "Time without a link after which an attempt is given up.",
+    description:
+      "Time without a link to its runner after which an attempt is given up.",
   }),
   orphanAfter: milliseconds(10_000).meta({
-    description: "Time without its entry after which an attempt is cancelled.",
+    description:
+      "Time without a link to its entry after which a repeatable attempt is cancelled.",
   }),
   callerStall: milliseconds(30_000).meta({
-    description: "Time a caller may take no bytes.",
+    description: "Time that a caller may go without accepting any bytes.",
   }),
   storeTimeout: milliseconds(1_000),
   storePatience: milliseconds(5_000).meta({
-    description: "Time to repeat a write of unknown outcome.",
+    description:
+      "Time for which a write is repeated while its outcome is unknown.",
   }),
   hostListPeriod: milliseconds(1_000),
   configurationPoll: milliseconds(1_000),
   inForceTimeout: milliseconds(5_000).meta({
-    description: "Time an operator's call waits for all processes.",
+    description:
+      "Time that an operator's call waits until a change is in force everywhere.",
   }),
   isolatedAfter: milliseconds(4_000).meta({
-    description: "Time without peer and store after which work is refused.",
+    description:
+      "Time without a message from any peer or the store after which work is refused.",
   }),
   suspectAfter: milliseconds(2_000),
   goneAfter: milliseconds(5_000),
   progressTimeout: milliseconds(30_000).meta({
-    description: "Silence of an engine or service that breaks a call.",
+    description:
+      "Time without output of an engine or service after which a call fails.",
   }),
   loadPeriod: milliseconds(50),
   drainTimeout: milliseconds(120_000).meta({
@@ -96,13 +110,13 @@
   }),
   drainNotice: milliseconds(6_000).meta({
     description:
-      "Time an entry still takes work after it left the entry list; longer than callers keep the list.",
+      "Time for which an entry accepts work after it left the entry list; longer than callers cache the list.",
   }),
   claimRetention: milliseconds(86_400_000).meta({
     description: "Time for which an idempotency key is remembered.",
   }),
   claimRemovalPeriod: milliseconds(10_000).meta({
-    description: "Time between batches of claims removed.",
+    description: "Time between removals of batches of expired claims.",
   }),
   leaseDuration: milliseconds(3_000),
 });
@@ -116,7 +130,8 @@
     error: "give a process key of at least 16 characters",
   }),
   operatorKeyHashes: zod.array(keyHash).default([]).meta({
-    description: "Operators accepted besides those of the configuration.",
+    description:
+      "Operators that are accepted in addition to those of the configuration.",
   }),
   metrics: zod
     .strictObject({ address: text("an IP address"), port })
@@ -141,7 +156,10 @@
   advertise: zod
     .strictObject({ callerUrl: url.optional(), linkUrl: url.optional() })
     .prefault({})
-    .meta({ description: "URLs told to others, if not the listeners' own." }),
+    .meta({
+      description:
+        "URLs at which others reach this process, if not those of its listeners.",
+    }),
   listen: zod.strictObject({
     callers: LISTENER,
     links: LISTENER,
@@ -166,7 +184,7 @@
         .int({ error: "give the number of ranks" })
         .min(1, { error: "give at least 1 rank" }),
       checksFencing: zod.boolean().default(false).meta({
-        description: "Whether the engine refuses old fencing numbers itself.",
+        description: "Whether the engine itself refuses old fencing numbers.",
       }),
     }),
     zod.strictObject({ kind: zod.literal(BackEndKind.Plain), url }),
--- a/packages/daemon/src/start_process.ts
+++ b/packages/daemon/src/start_process.ts
@@ -7,7 +7,7 @@
 import * as settingsModule from "./settings/settings.ts";
 import * as startUpstream from "./upstream/start_upstream.ts";
 
-/** Starts the process that the settings describe. */
+/** Starts an entry or upstream process, by the role in its settings. */
 export function startProcess(
   settings: settingsModule.Settings,
   logger: common.Logger = common.createLogger({
@@ -34,6 +34,10 @@
   }
 }
 
+/**
+ * Returns a recorder that appends events to a file, or to nothing without a
+ * file.
+ */
 function openHistory(file: string | undefined): common.HistoryRecorder {
   if (file === undefined) return common.noHistory();
   return {
