--- a/packages/daemon/src/configuration/configuration_holder.ts
+++ b/packages/daemon/src/configuration/configuration_holder.ts
@@ -101,8 +101,9 @@
       const isUnchanged = this.sectionRevisions()[name] === revision;
       const text = isUnchanged
         ? this.#view?.texts[name]
-        : pushed.find((one) => one.name === name && one.revision === revision)
-            ?.text;
+        : pushed.find(
+            (section) => section.name === name && section.revision === revision,
+          )?.text;
       if (text === undefined) return undefined;
       texts[name] = text;
     }
--- a/packages/daemon/src/configuration/configuration_sync.ts
+++ b/packages/daemon/src/configuration/configuration_sync.ts
@@ -39,8 +39,8 @@
         : common.EventCode.StoreUnavailable;
       logger.event(code);
     }
-    const shared = (parameters.entryCount() * 1_000) / READS_PER_SECOND;
-    const period = Math.max(parameters.periodMilliseconds, shared);
+    const minimumPeriod = (parameters.entryCount() * 1_000) / READS_PER_SECOND;
+    const period = Math.max(parameters.periodMilliseconds, minimumPeriod);
     await common.sleep(random.between(0.5, 1.5) * period, signal);
   }
 }
--- a/packages/daemon/src/configuration/restore_configuration.ts
+++ b/packages/daemon/src/configuration/restore_configuration.ts
@@ -45,7 +45,8 @@
       ownRevisions[name] === revision
         ? currentConfiguration.view?.texts[name]
         : undefined;
-    const text = own ?? read.value.find((one) => one.name === name)?.text;
+    const text =
+      own ?? read.value.find((section) => section.name === name)?.text;
     if (text !== undefined) texts[name] = text;
   }
   return texts;
--- a/packages/daemon/src/membership/member_table.ts
+++ b/packages/daemon/src/membership/member_table.ts
@@ -53,12 +53,12 @@
 
   /** Members that have not departed, including this process. */
   get present(): wire.Member[] {
-    return this.all.filter((one) => one.state !== wire.MemberState.Gone);
+    return this.all.filter((member) => member.state !== wire.MemberState.Gone);
   }
 
   /** Members that accept work, including this process unless it drains. */
   get alive(): wire.Member[] {
-    return this.all.filter((one) => one.state === wire.MemberState.Alive);
+    return this.all.filter((member) => member.state === wire.MemberState.Alive);
   }
 
   /** Record of one host. */
@@ -106,9 +106,9 @@
    * one.
    */
   learnRevision(host: string, revision: number): boolean {
-    const entry = this.#records.get(host);
-    if (!entry || entry.member.revision >= revision) return false;
-    entry.member = { ...entry.member, revision };
+    const record = this.#records.get(host);
+    if (!record || record.member.revision >= revision) return false;
+    record.member = { ...record.member, revision };
     this.changed.announce();
     return true;
   }
@@ -120,8 +120,8 @@
     if (received.host === this.#self.host) return this.#refuteRecord(received);
     const known = this.#records.get(received.host)?.member;
     if (known && !isNewer(received, known)) return false;
-    const same = known?.incarnation === received.incarnation;
-    const revision = same
+    const isSameIncarnation = known?.incarnation === received.incarnation;
+    const revision = isSameIncarnation
       ? Math.max(known.revision, received.revision)
       : received.revision;
     this.#set({ ...received, revision });
@@ -171,11 +171,11 @@
    */
   #refuteRecord(received: wire.Member): boolean {
     if (received.counter < this.#self.counter) return false;
-    const same =
+    const isSame =
       received.counter === this.#self.counter &&
       received.state === this.#self.state &&
       received.incarnation === this.#self.incarnation;
-    if (same) return false;
+    if (isSame) return false;
     this.#self = { ...this.#self, counter: received.counter + 1 };
     this.#set(this.#self);
     return true;
--- a/packages/daemon/src/membership/peer_links.ts
+++ b/packages/daemon/src/membership/peer_links.ts
@@ -68,6 +68,7 @@
   readonly #peers = new Map<string, Peer>();
   /** Dialling tasks of the neighbours, by host. */
   readonly #dialTasks = new Map<string, AbortController>();
+  /** Announces that a link opened or closed. */
   readonly #linksChanged = new common.ChangeNotice();
   #linkNumber = 0;
   /** When a message or heartbeat last came from any peer. */
@@ -150,12 +151,12 @@
     const peer = this.#peers.get(host);
     const view = this.parameters.currentConfiguration.view;
     if (!peer || !view || peer.revision >= view.head.revision) return;
-    const known = peer.revision;
+    const peerRevision = peer.revision;
     // The peer has every section up to its revision, and needs those that
     // changed later.
     const sections = this.parameters.currentConfiguration
       .sectionsMissingFor({})
-      .filter((section) => section.revision > known);
+      .filter((section) => section.revision > peerRevision);
     peer.revision = view.head.revision;
     peer.pushedAt = common.now();
     const kind = wire.MessageKind.ConfigurationPush;
@@ -169,7 +170,7 @@
   async #reconcile(signal: AbortSignal): Promise<void> {
     const { members, hosts, lifeCycle } = this.parameters;
     while (!signal.aborted) {
-      const wanted = this.#wanted();
+      const wanted = this.#wantedNeighbours();
       for (const [host, task] of this.#dialTasks) {
         if (wanted.has(host)) continue;
         task.abort();
@@ -179,8 +180,10 @@
         if (this.#dialTasks.has(host)) continue;
         const task = new AbortController();
         this.#dialTasks.set(host, task);
-        const both = AbortSignal.any([signal, task.signal]);
-        lifeCycle.run(`dial ${host}`, () => this.#maintainLink(host, both));
+        const dialSignal = AbortSignal.any([signal, task.signal]);
+        lifeCycle.run(`dial ${host}`, () =>
+          this.#maintainLink(host, dialSignal),
+        );
       }
       await Promise.race([
         members.changed.next(1_000, signal),
@@ -189,7 +192,7 @@
     }
   }
 
-  #wanted(): Set<string> {
+  #wantedNeighbours(): Set<string> {
     const { members, hosts, settings } = this.parameters;
     const names = new Set(members.present.map((member) => member.host));
     for (const host of hosts.withRole(backingServices.HostRole.Entry)) {
@@ -230,8 +233,9 @@
         lastLinkedAt = common.now();
         continue;
       }
-      const silence = common.now() - lastLinkedAt;
-      if (silence > settings.timing.suspectAfter) members.suspect(host);
+      const unlinkedMilliseconds = common.now() - lastLinkedAt;
+      if (unlinkedMilliseconds > settings.timing.suspectAfter)
+        members.suspect(host);
       await common.sleep(backOff.pause(), signal);
     }
   }
@@ -240,10 +244,10 @@
     const { members, hosts, settings, currentConfiguration, logger } =
       this.parameters;
     const member = members.get(host);
-    const base = member?.peerUrl ?? hosts.hosts.get(host)?.linkUrl;
-    if (!base) return undefined;
+    const baseUrl = member?.peerUrl ?? hosts.hosts.get(host)?.linkUrl;
+    if (!baseUrl) return undefined;
     const dialled = await wire.dial({
-      url: listenModule.linkUrl(base),
+      url: listenModule.linkUrl(baseUrl),
       key: settings.processKey,
       timing: settings.timing,
       heartbeat: () => ({
@@ -284,7 +288,8 @@
     // heartbeat rate. The many on-demand links, over which entries lend each
     // other account limits, need less.
     link.isBusy = () => this.#dialTasks.has(host);
-    link.onHeartbeat = (beat) => this.#noteRevision(host, beat.revision);
+    link.onHeartbeat = (heartbeat) =>
+      this.#noteRevision(host, heartbeat.revision);
     logger.event(common.EventCode.LinkEstablished, { peer: host });
     this.#linksChanged.announce();
     // A process that starts knows no other entry, and no entry knows it.
@@ -364,8 +369,8 @@
         });
       }
       case wire.MessageKind.InForce:
-        for (const one of message.hosts) {
-          this.acks.confirm(one, message.revision);
+        for (const confirmedHost of message.hosts) {
+          this.acks.confirm(confirmedHost, message.revision);
         }
         return;
       case wire.MessageKind.ConfigurationRequest: {
--- a/packages/daemon/src/mesh/document_exchange.ts
+++ b/packages/daemon/src/mesh/document_exchange.ts
@@ -12,10 +12,10 @@
 /**
  * Time that an entry waits before it forwards a document that it received from
  * a peer. That peer sends the document to all entries at the same moment. If
- * each of 45 entries forwarded it at once, it would send 44 copies, most of
- * them to entries that have the document already. An entry that the first
- * sender does not reach gets the document after this delay and one heartbeat:
- * 0.8 s, where two to three seconds are promised.
+ * all of 45 entries forwarded it at once, each would send 44 copies, most of
+ * them to entries that have the document or are about to get it. An entry that
+ * the first sender does not reach gets the document after this delay and one
+ * heartbeat: 0.8 s, where two to three seconds are promised.
  */
 const RELAY_DELAY_MILLISECONDS = 500;
 
@@ -49,6 +49,7 @@
 export class DocumentExchange {
   /** Versions received from a peer, and when this entry may forward them. */
   readonly #relays = new Map<DocumentName, { version: number; at: number }>();
+  /** The last packed version of each document. */
   readonly #packed = new Map<DocumentName, CachedDocument>();
 
   constructor(readonly parameters: DocumentExchangeParameters) {}
--- a/packages/daemon/src/mesh/document_exchange_test.ts
+++ b/packages/daemon/src/mesh/document_exchange_test.ts
@@ -84,7 +84,7 @@
   t.is(third.sent.length, 0);
   // The first sender does not reach the third entry, which still lacks it.
   const notice = new common.ChangeNotice();
-  const came = await notice.until({
+  const wasSent = await notice.until({
     condition: () => {
       receiver.exchange.pushNewer(third.peer);
       setTimeout(() => notice.announce(), 20);
@@ -92,7 +92,7 @@
     },
     timeoutMilliseconds: 5_000,
   });
-  t.true(came);
+  t.true(wasSent);
 });
 
 test("a version read from the store during the delay is pushed at once", (t) => {
--- a/packages/daemon/src/mesh/entry_mesh.ts
+++ b/packages/daemon/src/mesh/entry_mesh.ts
@@ -103,6 +103,7 @@
   readonly #linked = new Map<string, meshPeer.MeshPeer>();
   readonly #heartbeatClock = new heartbeatClockModule.HeartbeatClock();
   readonly #documents: documentExchange.DocumentExchange;
+  /** Announces that a link opened or closed. */
   readonly #linksChanged = new common.ChangeNotice();
   #leaving = false;
   /** Revision of this entry's row, once it is certain to be written. */
--- a/packages/daemon/src/running_process.ts
+++ b/packages/daemon/src/running_process.ts
@@ -1,13 +1,15 @@
-/** A started process of either role, as its owner sees it. */
+/**
+ * Handle of a started entry or upstream process, for the code that started it.
+ */
 export interface RunningProcess {
   /** Base URL of each listener, by name. */
   urls: Record<string, string>;
-  /** The state dump. */
+  /** Returns the state dump. */
   state: () => unknown;
-  /** Requests that a stop right now would lose. */
+  /** Number of accepted requests that an immediate stop would lose. */
   unfinished: () => number;
-  /** Refuses new work and resolves when accepted work is finished. */
+  /** Refuses new work; resolves when the accepted work is finished. */
   drain: () => Promise<void>;
-  /** Closes everything; resolves to the names of parts that closed late. */
+  /** Closes all resources; resolves to the names of those that closed late. */
   stop: () => Promise<string[]>;
 }
--- a/packages/daemon/src/settings/listen_test.ts
+++ b/packages/daemon/src/settings/listen_test.ts
@@ -60,13 +60,13 @@
   t.true(wrong.isErr() && wrong.error.refused);
   const link = (await dial(KEY, ca))._unsafeUnwrap();
   link.send({ kind: wire.MessageKind.Leaving });
-  const far = await accepted.receive();
-  t.is((await far?.receive())?.kind, wire.MessageKind.Leaving);
+  const acceptedLink = await accepted.receive();
+  t.is((await acceptedLink?.receive())?.kind, wire.MessageKind.Leaving);
   await lifeCycle.close();
   await dispatcher.destroy();
 });
 
-test("a listener whose certificate file is missing fails with its name", async (t) => {
+test("the failure of a listener without its certificate file names the listener", async (t) => {
   const listener = tlsListener();
   const opened = await listenModule.listen({
     name: "callers",
--- a/packages/daemon/src/settings/settings.ts
+++ b/packages/daemon/src/settings/settings.ts
@@ -29,13 +29,13 @@
 const url = zod.string({ error: "give a URL" }).regex(/^https?:\/\/[^/]+$/, {
   error: "give http:// or https:// with host and port and no path",
 });
-const milliseconds = (standard: number) =>
+const milliseconds = (defaultValue: number) =>
   zod
     .number({ error: "give milliseconds as a number" })
     .int({ error: "give whole milliseconds" })
     .min(1, { error: "give at least 1 ms" })
     .max(86_400_000, { error: "give at most a day" })
-    .default(standard);
+    .default(defaultValue);
 const keyHash = zod
   .string({ error: "give the SHA-256 of a key" })
   .regex(/^[0-9a-f]{64}$/, {
