--- a/packages/daemon/src/configuration/restore_configuration.ts
+++ b/packages/daemon/src/configuration/restore_configuration.ts
@@ -4,10 +4,10 @@
 
 /**
  * Writes the configuration in force again, in place of an older head that the
- * table has, so that changes that operators were told are accepted stay in
- * force. If an operator changes the older head at the same moment, either that
- * change gets a conflict, or it is committed and all entries adopt it. Returns
- * whether the configuration was written.
+ * table has. So changes stay in force once they are reported to operators as
+ * accepted. If an operator changes the older head at the same moment, either
+ * that change gets a conflict, or it is committed and all entries adopt it.
+ * Returns whether the configuration was written.
  */
 export async function restoreConfiguration(parameters: {
   currentConfiguration: configurationHolder.ConfigurationHolder;
--- a/packages/daemon/src/mesh/member_rows.ts
+++ b/packages/daemon/src/mesh/member_rows.ts
@@ -18,7 +18,7 @@
 const MAX_ROWS = 1_000;
 
 /**
- * Time that a process waits for the store to remove a row, even if it stops.
+ * Longest wait for the removal of a row; a stopping process waits for it.
  */
 const REMOVE_TIMEOUT_MILLISECONDS = 500;
 
