--- a/packages/daemon/src/configuration/configuration_keeper.ts
+++ b/packages/daemon/src/configuration/configuration_holder.ts
@@ -2,24 +2,27 @@
 import * as configuration from "@geraniumkeel/configuration";
 import type * as wire from "@geraniumkeel/wire";
 
-/** What became of a configuration that was heard. */
+/** Outcome of a received configuration. */
 export enum AdoptOutcome {
   Adopted = "adopted",
-  /** Not newer than the one in force: ignored. */
+  /** It is not newer than the one in force, and was ignored. */
   Old = "old",
-  /** Sections are missing; they must be asked for. */
+  /** Some of its sections are missing; the caller must request them. */
   Incomplete = "incomplete",
 }
 
 /**
- * The configuration in force in this process. Its revision only grows: a stale
- * answer of the store or of a peer would otherwise undo an accepted change.
+ * Holds the configuration in force in this process. Its revision never goes
+ * down: otherwise an outdated answer of the store or of a peer would undo an
+ * accepted change.
  */
-export class ConfigurationKeeper {
+export class ConfigurationHolder {
   readonly changed = new common.ChangeNotice();
   #view: configuration.ConfigurationView | undefined;
-  /** Highest revision heard of, in force or not. */
-  #heard = 0;
+  /**
+   * Highest revision that a peer or the store has named, in force here or not.
+   */
+  #highestKnownRevision = 0;
 
   constructor(
     readonly parameters: {
@@ -29,7 +32,7 @@
     },
   ) {}
 
-  /** The configuration in force, once there is one. */
+  /** The configuration in force; `undefined` before the first. */
   get view(): configuration.ConfigurationView | undefined {
     return this.#view;
   }
@@ -41,31 +44,39 @@
 
   /** Whether another process is known to have a newer revision. */
   get behind(): boolean {
-    return this.#heard > this.revision;
+    return this.#highestKnownRevision > this.revision;
   }
 
-  /** Notes a revision named by a peer or the store. */
-  hear(revision: number): void {
-    this.#heard = Math.max(this.#heard, revision);
+  /** Records a revision that a peer or the store named. */
+  noteRevision(revision: number): void {
+    this.#highestKnownRevision = Math.max(this.#highestKnownRevision, revision);
   }
 
-  /** Section revisions held, to ask only for the others. */
-  held(): Record<string, number> {
+  /**
+   * Revision of each section in force, so that only newer sections are
+   * requested.
+   */
+  sectionRevisions(): Record<string, number> {
     return this.#view?.head.sections ?? {};
   }
 
-  /** What a process that holds `held` lacks. */
-  missingFor(held: Record<string, number>): wire.SectionPush[] {
+  /** Sections that a process with other revisions of them lacks. */
+  sectionsMissingFor(
+    sectionRevisions: Record<string, number>,
+  ): wire.SectionPush[] {
     const view = this.#view;
     if (!view) return [];
     return Object.entries(view.head.sections)
-      .filter(([name, revision]) => held[name] !== revision)
+      .filter(([name, revision]) => sectionRevisions[name] !== revision)
       .map(([name, revision]) => ({ name, revision, text: view.texts[name] }));
   }
 
-  /** Puts a committed configuration in force if it is newer. */
+  /**
+   * Puts a committed configuration in force if it is newer. The pushed
+   * sections, with those in force, must include all sections of its head.
+   */
   adopt(head: configuration.Head, pushed: wire.SectionPush[]): AdoptOutcome {
-    this.hear(head.revision);
+    this.noteRevision(head.revision);
     if (head.revision <= this.revision) {
       if (head.revision < this.revision) this.#reportStale(head.revision);
       return AdoptOutcome.Old;
@@ -87,20 +98,21 @@
   ): configuration.Sections | undefined {
     const texts: configuration.Sections = {};
     for (const [name, revision] of Object.entries(head.sections)) {
-      const held = this.held()[name] === revision;
-      const text = held
+      const isUnchanged = this.sectionRevisions()[name] === revision;
+      const text = isUnchanged
         ? this.#view?.texts[name]
-        : pushed.find((one) => one.name === name && one.revision === revision)
-            ?.text;
+        : pushed.find(
+            (section) => section.name === name && section.revision === revision,
+          )?.text;
       if (text === undefined) return undefined;
       texts[name] = text;
     }
     return texts;
   }
 
-  #reportStale(heard: number): void {
+  #reportStale(revision: number): void {
     const inForce = this.revision;
     const code = common.EventCode.ConfigurationStale;
-    this.parameters.logger.event(code, { heard, inForce });
+    this.parameters.logger.event(code, { heard: revision, inForce });
   }
 }
--- a/packages/daemon/src/configuration/configuration_sync.ts
+++ b/packages/daemon/src/configuration/configuration_sync.ts
@@ -1,28 +1,29 @@
 import * as common from "@geraniumkeel/common";
-import * as configurationKeeper from "./configuration_keeper.ts";
+import * as configurationHolder from "./configuration_holder.ts";
 import * as configurationStore from "./configuration_store.ts";
-import type * as copiedHeadModule from "./copied_head.ts";
+import type * as copiedHeadPolicyModule from "./copied_head_policy.ts";
 import * as restoreConfiguration from "./restore_configuration.ts";
 
-/** Epoch of a head that is not there. */
-const NOT_WRITTEN = -1;
-/** Reads of the head that all entries together may cause in a second. */
+/** Stands for the epoch of the head if the table has none. */
+const NO_HEAD_EPOCH = -1;
+/** Largest number of reads of the head a second by all entries together. */
 const READS_PER_SECOND = 100;
 
 /**
- * Anti-entropy with the store: whatever pushes missed is found by reading the
- * head again and again. The period grows with the number of entries, so that
- * the load on the table service stays bounded.
+ * Reads the head from the store periodically until the signal aborts, and puts
+ * it in force if it is newer. So an entry gets changes that no peer pushed to
+ * it. The period grows with the number of entries, so that the load on the
+ * table service stays bounded.
  */
 export async function syncWithStore(parameters: {
-  keeper: configurationKeeper.ConfigurationKeeper;
+  currentConfiguration: configurationHolder.ConfigurationHolder;
   store: configurationStore.ConfigurationStore;
-  copiedHead: copiedHeadModule.CopiedHead;
+  copiedHead: copiedHeadPolicyModule.CopiedHeadPolicy;
   logger: common.Logger;
   random: common.Random;
   periodMilliseconds: number;
-  entries: () => number;
-  /** Called whenever the store has answered. */
+  entryCount: () => number;
+  /** Called after each read that the store answered. */
   onAnswer: () => void;
   signal: AbortSignal;
 }): Promise<void> {
@@ -38,56 +39,65 @@
         : common.EventCode.StoreUnavailable;
       logger.event(code);
     }
-    const shared = (parameters.entries() * 1_000) / READS_PER_SECOND;
-    const period = Math.max(parameters.periodMilliseconds, shared);
+    const minimumPeriod = (parameters.entryCount() * 1_000) / READS_PER_SECOND;
+    const period = Math.max(parameters.periodMilliseconds, minimumPeriod);
     await common.sleep(random.between(0.5, 1.5) * period, signal);
   }
 }
 
-/** Reads the head and puts it in force if newer; false without an answer. */
+/**
+ * Reads the head once, and puts it in force if it is newer or restores it if it
+ * comes from a copy. Returns false if the store did not answer.
+ */
 async function readOnce(parameters: {
-  keeper: configurationKeeper.ConfigurationKeeper;
+  currentConfiguration: configurationHolder.ConfigurationHolder;
   store: configurationStore.ConfigurationStore;
-  copiedHead: copiedHeadModule.CopiedHead;
+  copiedHead: copiedHeadPolicyModule.CopiedHeadPolicy;
   logger: common.Logger;
 }): Promise<boolean> {
-  const { keeper, store, copiedHead } = parameters;
+  const { currentConfiguration, store, copiedHead } = parameters;
   const read = await store.readHead();
   if (read.isErr()) return false;
-  const writtenIn = read.value?.head.epoch ?? NOT_WRITTEN;
-  if (copiedHead.mayRestore(writtenIn)) {
+  const headEpoch = read.value?.head.epoch ?? NO_HEAD_EPOCH;
+  if (copiedHead.mayRestore(headEpoch)) {
     await restore(parameters, read.value);
     return true;
   }
   if (!read.value) return true;
   const head = configurationStore.publicHead(read.value.head);
-  if (head.revision <= keeper.revision) {
-    keeper.hear(head.revision);
+  if (head.revision <= currentConfiguration.revision) {
+    currentConfiguration.noteRevision(head.revision);
     return true;
   }
-  if (!copiedHead.mayAdopt(writtenIn)) return true;
-  const sections = await store.readSections(head, keeper.held());
+  if (!copiedHead.mayAdopt(headEpoch)) return true;
+  const sections = await store.readSections(
+    head,
+    currentConfiguration.sectionRevisions(),
+  );
   if (sections.isErr()) return false;
-  if (sections.value) keeper.adopt(head, sections.value);
+  if (sections.value) currentConfiguration.adopt(head, sections.value);
   return true;
 }
 
-/** Writes what is in force again, in place of a head that comes from a copy. */
+/**
+ * Writes the configuration in force again, in place of a head that comes from a
+ * copy.
+ */
 async function restore(
   parameters: {
-    keeper: configurationKeeper.ConfigurationKeeper;
+    currentConfiguration: configurationHolder.ConfigurationHolder;
     store: configurationStore.ConfigurationStore;
     logger: common.Logger;
   },
   base: configurationStore.ReadHead | undefined,
 ): Promise<void> {
-  const { keeper, logger } = parameters;
+  const { currentConfiguration, logger } = parameters;
   const before = base?.head.revision ?? 0;
   if (
     !(await restoreConfiguration.restoreConfiguration({ ...parameters, base }))
   )
     return;
   const code = common.EventCode.TableRowsRestored;
-  const { revision } = keeper;
+  const { revision } = currentConfiguration;
   logger.event(code, { rows: { configuration: 1 }, before, revision });
 }
--- a/packages/daemon/src/membership/member_table.ts
+++ b/packages/daemon/src/membership/member_table.ts
@@ -1,25 +1,26 @@
 import * as common from "@geraniumkeel/common";
 import * as wire from "@geraniumkeel/wire";
 
-/** Time for which a member that is gone is remembered. */
-const GONE_RETENTION_MILLISECONDS = 120_000;
+/** Time for which a departed member is remembered. */
+const DEPARTED_RETENTION_MILLISECONDS = 120_000;
 
-/** A member and when this process last changed its record. */
-interface Entry {
+/** The record of a member, and when this process last changed it. */
+interface StoredRecord {
   member: wire.Member;
   changedAt: number;
 }
 
 /**
- * The entries as known here. Only a member itself raises its counter; others
- * may only worsen its state at the same counter. So a late rumour never
- * overrides what the member said of itself since.
+ * The entries of the deployment, as this process knows them by gossip. Only a
+ * member itself raises the counter of its record; other members may only change
+ * its state for the worse at the same counter. So a late message about a member
+ * never overrides a newer record that the member itself has sent.
  */
 export class MemberTable {
   readonly changed = new common.ChangeNotice();
-  readonly #entries = new Map<string, Entry>();
-  /** Hosts whose record changed since `takeChanges`. */
-  readonly #dirty = new Set<string>();
+  readonly #records = new Map<string, StoredRecord>();
+  /** Hosts whose record changed since the last call of `takeChanges`. */
+  readonly #changedHosts = new Set<string>();
   #self: wire.Member;
 
   constructor(
@@ -30,8 +31,9 @@
     this.#self = {
       ...self,
       state: wire.MemberState.Alive,
-      // A replacement at the same name must outrank its predecessor. Wall-clock
-      // time does so nearly always; where it went back, `merge` raises it.
+      // The record of a new process must outrank that of an earlier process on
+      // the same host. The wall-clock time nearly always ensures this. If the
+      // clock was set back, `merge` raises the counter.
       counter: wallClock(),
       revision: 0,
       weight: 1,
@@ -46,27 +48,28 @@
 
   /** All records, this process's included. */
   get all(): wire.Member[] {
-    return [...this.#entries.values()].map(({ member }) => member);
+    return [...this.#records.values()].map(({ member }) => member);
   }
 
-  /** Members that are not gone, this process included. */
+  /** Members that have not departed, including this process. */
   get present(): wire.Member[] {
-    return this.all.filter((one) => one.state !== wire.MemberState.Gone);
+    return this.all.filter((member) => member.state !== wire.MemberState.Gone);
   }
 
-  /** Members that take work, this process included unless it drains. */
+  /** Members that accept work, including this process unless it drains. */
   get alive(): wire.Member[] {
-    return this.all.filter((one) => one.state === wire.MemberState.Alive);
+    return this.all.filter((member) => member.state === wire.MemberState.Alive);
   }
 
   /** Record of one host. */
   get(host: string): wire.Member | undefined {
-    return this.#entries.get(host)?.member;
+    return this.#records.get(host)?.member;
   }
 
   /**
-   * The same for tables that know the same of all present members. Revisions
-   * are left out: they spread by acknowledgements and lag behind for a moment.
+   * A hash that is equal for tables with equal records of all present members.
+   * Revisions are left out, because acknowledgements spread them separately and
+   * with a short delay.
    */
   get digest(): string {
     const known = this.present
@@ -77,98 +80,116 @@
     return common.hash64(known.join("\n"));
   }
 
-  /** Changes what this process says of itself. */
-  describeSelf(change: Partial<Pick<wire.Member, "state" | "weight">>): void {
+  /** Changes this process's own record and raises its counter. */
+  updateSelf(change: Partial<Pick<wire.Member, "state" | "weight">>): void {
     const counter = this.#self.counter + 1;
     this.#self = { ...this.#self, ...change, counter };
     this.#set(this.#self);
   }
 
   /**
-   * Notes the revision in force here. It goes out with the next record and not
-   * in one of its own: acknowledgements tell those who wait for it.
+   * Records the revision in force here. The change alone is not gossiped: it
+   * goes out with the record's next change, and acknowledgements report the
+   * revision to those that wait for it.
    */
   noteRevision(revision: number): void {
     this.#self = { ...this.#self, revision };
-    this.#entries.set(this.#self.host, {
+    this.#records.set(this.#self.host, {
       member: this.#self,
       changedAt: this.clock(),
     });
     this.changed.announce();
   }
 
-  /** Notes a revision that a member has; returns whether it was news. */
+  /**
+   * Records a member's revision; returns whether it is higher than the known
+   * one.
+   */
   learnRevision(host: string, revision: number): boolean {
-    const entry = this.#entries.get(host);
-    if (!entry || entry.member.revision >= revision) return false;
-    entry.member = { ...entry.member, revision };
+    const record = this.#records.get(host);
+    if (!record || record.member.revision >= revision) return false;
+    record.member = { ...record.member, revision };
     this.changed.announce();
     return true;
   }
 
-  /** Takes in a record heard from a peer; returns whether it was news. */
-  merge(heard: wire.Member): boolean {
-    if (heard.host === this.#self.host) return this.#answerRumour(heard);
-    const known = this.#entries.get(heard.host)?.member;
-    if (known && !isNewer(heard, known)) return false;
-    const same = known?.incarnation === heard.incarnation;
-    const revision = same
-      ? Math.max(known.revision, heard.revision)
-      : heard.revision;
-    this.#set({ ...heard, revision });
+  /**
+   * Merges a record received from a peer; returns whether it changed the table.
+   */
+  merge(received: wire.Member): boolean {
+    if (received.host === this.#self.host) return this.#refuteRecord(received);
+    const known = this.#records.get(received.host)?.member;
+    if (known && !isNewer(received, known)) return false;
+    const isSameIncarnation = known?.incarnation === received.incarnation;
+    const revision = isSameIncarnation
+      ? Math.max(known.revision, received.revision)
+      : received.revision;
+    this.#set({ ...received, revision });
     return true;
   }
 
-  /** Notes that a member does not answer; it may refute. */
+  /**
+   * Marks a member that does not answer as suspect. The member refutes this by
+   * a record with a higher counter.
+   */
   suspect(host: string): void {
-    const known = this.#entries.get(host)?.member;
+    const known = this.#records.get(host)?.member;
     if (known && known.state < wire.MemberState.Suspect) {
       this.#set({ ...known, state: wire.MemberState.Suspect });
     }
   }
 
-  /** Turns suspicions that nobody refuted into departures. */
-  expire(goneAfterMilliseconds: number): void {
+  /**
+   * Marks members as departed that have been suspect for the given time, and
+   * deletes departed members after their retention period.
+   */
+  expire(departedAfterMilliseconds: number): void {
     const now = this.clock();
-    for (const [host, { member, changedAt }] of this.#entries) {
+    for (const [host, { member, changedAt }] of this.#records) {
       const age = now - changedAt;
       if (member.state === wire.MemberState.Suspect) {
-        if (age < goneAfterMilliseconds) continue;
+        if (age < departedAfterMilliseconds) continue;
         this.#set({ ...member, state: wire.MemberState.Gone });
       } else if (member.state === wire.MemberState.Gone) {
-        if (age > GONE_RETENTION_MILLISECONDS) this.#entries.delete(host);
+        if (age > DEPARTED_RETENTION_MILLISECONDS) this.#records.delete(host);
       }
     }
   }
 
-  /** Records changed since the last call. */
+  /** Returns the records that changed since the last call. */
   takeChanges(): wire.Member[] {
-    const changes = [...this.#dirty].flatMap((host) => this.get(host) ?? []);
-    this.#dirty.clear();
+    const changes = [...this.#changedHosts].flatMap(
+      (host) => this.get(host) ?? [],
+    );
+    this.#changedHosts.clear();
     return changes;
   }
 
-  /** A rumour about this process itself is answered by a higher counter. */
-  #answerRumour(heard: wire.Member): boolean {
-    if (heard.counter < this.#self.counter) return false;
-    const same =
-      heard.counter === this.#self.counter &&
-      heard.state === this.#self.state &&
-      heard.incarnation === this.#self.incarnation;
-    if (same) return false;
-    this.#self = { ...this.#self, counter: heard.counter + 1 };
+  /**
+   * Raises this process's own counter above a record about it that differs from
+   * its own, so that its own record prevails. Returns whether it did.
+   */
+  #refuteRecord(received: wire.Member): boolean {
+    if (received.counter < this.#self.counter) return false;
+    const isSame =
+      received.counter === this.#self.counter &&
+      received.state === this.#self.state &&
+      received.incarnation === this.#self.incarnation;
+    if (isSame) return false;
+    this.#self = { ...this.#self, counter: received.counter + 1 };
     this.#set(this.#self);
     return true;
   }
 
   #set(member: wire.Member): void {
-    this.#entries.set(member.host, { member, changedAt: this.clock() });
-    this.#dirty.add(member.host);
+    this.#records.set(member.host, { member, changedAt: this.clock() });
+    this.#changedHosts.add(member.host);
     this.changed.announce();
   }
 }
 
-function isNewer(heard: wire.Member, known: wire.Member): boolean {
-  if (heard.counter !== known.counter) return heard.counter > known.counter;
-  return heard.state > known.state;
+function isNewer(received: wire.Member, known: wire.Member): boolean {
+  if (received.counter !== known.counter)
+    return received.counter > known.counter;
+  return received.state > known.state;
 }
--- a/packages/daemon/src/membership/peer_links.ts
+++ b/packages/daemon/src/membership/peer_links.ts
@@ -1,7 +1,7 @@
 import * as common from "@geraniumkeel/common";
 import * as backingServices from "@geraniumkeel/backing_services";
 import * as wire from "@geraniumkeel/wire";
-import * as configurationKeeper from "../configuration/configuration_keeper.ts";
+import * as configurationHolder from "../configuration/configuration_holder.ts";
 import * as entryHello from "../entry/entry_hello.ts";
 import * as listenModule from "../settings/listen.ts";
 import type * as settingsModule from "../settings/settings.ts";
@@ -10,22 +10,28 @@
 import * as inForceAcks from "./in_force_acks.ts";
 import * as overlay from "./overlay.ts";
 
-/** Delay before the higher-named end dials, which normally waits to be dialled. */
+/**
+ * Delay before the entry with the later name dials. Normally the other entry
+ * has dialled by then.
+ */
 const SECOND_DIALLER_DELAY_MILLISECONDS = 1_500;
-const FIRST_PAUSE_MILLISECONDS = 50;
-const LONGEST_PAUSE_MILLISECONDS = 2_000;
-/** Changes heard within this time are passed on in one message. */
+/** Shortest and longest pause between attempts to open a link. */
+const MIN_PAUSE_MILLISECONDS = 50;
+const MAX_PAUSE_MILLISECONDS = 2_000;
+/** Member changes within this time are sent in one message. */
 const GOSSIP_BATCH_MILLISECONDS = 10;
-/** Comparing members with one peer repairs whatever gossip missed. */
-const COMPARE_MILLISECONDS = 30_000;
-const EXPIRE_LOOK_MILLISECONDS = 250;
-/** An on-demand link without use is closed after this time. */
-const IDLE_LINK_MILLISECONDS = 60_000;
+/** Time between comparisons of the member table with that of a random peer. */
+const COMPARE_INTERVAL_MILLISECONDS = 30_000;
+const EXPIRY_CHECK_MILLISECONDS = 250;
+/** Time without use after which an on-demand link is closed. */
+const MAX_IDLE_MILLISECONDS = 60_000;
 
-/** Time after which a push that had no effect is repeated. */
-const PUSH_AGAIN_MILLISECONDS = 1_000;
+/**
+ * Time after which a push is repeated to a peer that still lacks the revision.
+ */
+const PUSH_RETRY_MILLISECONDS = 1_000;
 
-/** What the links to peers need. */
+/** What `PeerLinks` is created with. */
 export interface PeerLinksParameters {
   settings: settingsModule.EntrySettings;
   incarnation: string;
@@ -35,11 +41,11 @@
   random: common.Random;
   members: memberTable.MemberTable;
   hosts: hostView.HostView;
-  keeper: configurationKeeper.ConfigurationKeeper;
+  currentConfiguration: configurationHolder.ConfigurationHolder;
   certificateAuthority: string | undefined;
-  /** Handles messages of other slices. */
+  /** Handles messages that belong to other modules. */
   onMessage: (host: string, link: wire.Link, message: wire.Message) => void;
-  /** Told when a peer is linked. */
+  /** Called when a link to a peer is open. */
   onLinked: (host: string) => void;
 }
 
@@ -47,20 +53,26 @@
 interface Peer {
   link: wire.Link;
   incarnation: string;
-  /** Highest revision it is known to have, or was sent. */
+  /** Highest revision that the peer is known to have or was sent. */
   revision: number;
+  /** When the configuration was last pushed to the peer. */
   pushedAt: number;
 }
 
-/** Links to other entries, and the gossip that flows over them. */
+/**
+ * Links from this entry to its neighbours and, on demand, to any other entry.
+ * Over them, entries gossip their member tables, push the configuration, and
+ * exchange the messages of other modules.
+ */
 export class PeerLinks {
   readonly #peers = new Map<string, Peer>();
-  /** Dialling tasks by host. */
-  readonly #dialling = new Map<string, AbortController>();
-  readonly #changed = new common.ChangeNotice();
+  /** Dialling tasks of the neighbours, by host. */
+  readonly #dialTasks = new Map<string, AbortController>();
+  /** Announces that a link opened or closed. */
+  readonly #linksChanged = new common.ChangeNotice();
   #linkNumber = 0;
-  /** When anything was last heard of any peer. */
-  lastHeardAt = common.now();
+  /** When a message or heartbeat last came from any peer. */
+  lastReceivedAt = common.now();
 
   /** Acknowledgements of the revision in force. */
   readonly acks: inForceAcks.InForceAcks;
@@ -73,7 +85,7 @@
     });
   }
 
-  /** Names of the peers linked now. */
+  /** Hosts that there is a link to now. */
   get linked(): string[] {
     return [...this.#peers.keys()];
   }
@@ -90,7 +102,7 @@
     lifeCycle.run("acknowledge", (signal) => this.acks.run(signal));
     lifeCycle.run("gossip", (signal) => this.#gossip(signal));
     lifeCycle.run("compare", (signal) => this.#compareRepeatedly(signal));
-    lifeCycle.every(EXPIRE_LOOK_MILLISECONDS, () =>
+    lifeCycle.every(EXPIRY_CHECK_MILLISECONDS, () =>
       members.expire(settings.timing.goneAfter),
     );
   }
@@ -100,7 +112,7 @@
     this.parameters.lifeCycle.run("peer", () => this.#serve(link));
   }
 
-  /** Sends to one linked peer; false when there is no link. */
+  /** Sends to one linked peer; returns false if there is no link. */
   send(host: string, message: wire.Message): boolean {
     const peer = this.#peers.get(host);
     peer?.link.send(message);
@@ -115,15 +127,15 @@
   }
 
   /**
-   * Sends to any entry, opening a link on demand when it is not a neighbour.
-   * False when it cannot be reached within the connect timeout.
+   * Sends to any entry; opens a link on demand if there is none. Returns false
+   * if the entry cannot be reached within the connect timeout.
    */
   async sendTo(host: string, message: wire.Message): Promise<boolean> {
     if (this.send(host, message)) return true;
     const opened = await this.#dial(host);
     if (!opened) return false;
     this.parameters.lifeCycle.run("on-demand", () => this.#serve(opened));
-    await this.#changed.until({
+    await this.#linksChanged.until({
       condition: () => this.#peers.has(host),
       timeoutMilliseconds: this.parameters.settings.timing.connectTimeout,
     });
@@ -137,35 +149,41 @@
 
   #pushTo(host: string): void {
     const peer = this.#peers.get(host);
-    const view = this.parameters.keeper.view;
+    const view = this.parameters.currentConfiguration.view;
     if (!peer || !view || peer.revision >= view.head.revision) return;
-    const known = peer.revision;
-    // What the peer holds is told by its revision: every section changed since.
-    const sections = this.parameters.keeper
-      .missingFor({})
-      .filter((section) => section.revision > known);
+    const peerRevision = peer.revision;
+    // The peer has every section up to its revision, and needs those that
+    // changed later.
+    const sections = this.parameters.currentConfiguration
+      .sectionsMissingFor({})
+      .filter((section) => section.revision > peerRevision);
     peer.revision = view.head.revision;
     peer.pushedAt = common.now();
     const kind = wire.MessageKind.ConfigurationPush;
     peer.link.send({ kind, head: view.head, sections });
   }
 
-  /** Keeps one dialling task per wanted neighbour. */
+  /**
+   * Starts a dialling task for each new neighbour, and stops those of former
+   * ones.
+   */
   async #reconcile(signal: AbortSignal): Promise<void> {
     const { members, hosts, lifeCycle } = this.parameters;
     while (!signal.aborted) {
-      const wanted = this.#wanted();
-      for (const [host, task] of this.#dialling) {
+      const wanted = this.#wantedNeighbours();
+      for (const [host, task] of this.#dialTasks) {
         if (wanted.has(host)) continue;
         task.abort();
-        this.#dialling.delete(host);
+        this.#dialTasks.delete(host);
       }
       for (const host of wanted) {
-        if (this.#dialling.has(host)) continue;
+        if (this.#dialTasks.has(host)) continue;
         const task = new AbortController();
-        this.#dialling.set(host, task);
-        const both = AbortSignal.any([signal, task.signal]);
-        lifeCycle.run(`dial ${host}`, () => this.#keepLinked(host, both));
+        this.#dialTasks.set(host, task);
+        const dialSignal = AbortSignal.any([signal, task.signal]);
+        lifeCycle.run(`dial ${host}`, () =>
+          this.#maintainLink(host, dialSignal),
+        );
       }
       await Promise.race([
         members.changed.next(1_000, signal),
@@ -174,7 +192,7 @@
     }
   }
 
-  #wanted(): Set<string> {
+  #wantedNeighbours(): Set<string> {
     const { members, hosts, settings } = this.parameters;
     const names = new Set(members.present.map((member) => member.host));
     for (const host of hosts.withRole(backingServices.HostRole.Entry)) {
@@ -183,17 +201,20 @@
     return overlay.neighbours(settings.host, [...names]);
   }
 
-  /** One task per neighbour: keeps a link to it while it is wanted. */
-  async #keepLinked(host: string, signal: AbortSignal): Promise<void> {
+  /**
+   * Dials a neighbour whenever there is no link to it, and marks it as suspect
+   * if that fails for too long.
+   */
+  async #maintainLink(host: string, signal: AbortSignal): Promise<void> {
     const { settings, members, random } = this.parameters;
     const backOff = new common.BackOff({
-      firstMilliseconds: FIRST_PAUSE_MILLISECONDS,
-      longestMilliseconds: LONGEST_PAUSE_MILLISECONDS,
+      firstMilliseconds: MIN_PAUSE_MILLISECONDS,
+      longestMilliseconds: MAX_PAUSE_MILLISECONDS,
       random,
     });
     let lastLinkedAt = common.now();
-    // Both ends want the link; without an order they would dial at once and
-    // replace each other's connection.
+    // Both ends want the link. Without a fixed order, both would dial at the
+    // same moment and replace each other's connection.
     if (settings.host > host) {
       await common.sleep(SECOND_DIALLER_DELAY_MILLISECONDS, signal);
     }
@@ -202,7 +223,7 @@
       if (peer) {
         lastLinkedAt = common.now();
         backOff.reset();
-        await this.#changed.next(1_000, signal);
+        await this.#linksChanged.next(1_000, signal);
         continue;
       }
       const link = await this.#dial(host);
@@ -212,22 +233,27 @@
         lastLinkedAt = common.now();
         continue;
       }
-      const silence = common.now() - lastLinkedAt;
-      if (silence > settings.timing.suspectAfter) members.suspect(host);
+      const unlinkedMilliseconds = common.now() - lastLinkedAt;
+      if (unlinkedMilliseconds > settings.timing.suspectAfter)
+        members.suspect(host);
       await common.sleep(backOff.pause(), signal);
     }
   }
 
   async #dial(host: string): Promise<wire.Link | undefined> {
-    const { members, hosts, settings, keeper, logger } = this.parameters;
+    const { members, hosts, settings, currentConfiguration, logger } =
+      this.parameters;
     const member = members.get(host);
-    const base = member?.peerUrl ?? hosts.hosts.get(host)?.linkUrl;
-    if (!base) return undefined;
+    const baseUrl = member?.peerUrl ?? hosts.hosts.get(host)?.linkUrl;
+    if (!baseUrl) return undefined;
     const dialled = await wire.dial({
-      url: listenModule.linkUrl(base),
+      url: listenModule.linkUrl(baseUrl),
       key: settings.processKey,
       timing: settings.timing,
-      heartbeat: () => ({ clock: common.now(), revision: keeper.revision }),
+      heartbeat: () => ({
+        clock: common.now(),
+        revision: currentConfiguration.revision,
+      }),
       certificateAuthority: this.parameters.certificateAuthority,
     });
     if (dialled.isOk()) return dialled.value;
@@ -238,11 +264,12 @@
   }
 
   async #serve(link: wire.Link): Promise<void> {
-    const { settings, keeper, incarnation, members, logger } = this.parameters;
+    const { settings, currentConfiguration, incarnation, members, logger } =
+      this.parameters;
     link.closeOn(this.parameters.lifeCycle.signal);
     this.#linkNumber++;
     const linkNumber = this.#linkNumber;
-    const revision = keeper.revision;
+    const revision = currentConfiguration.revision;
     const own = { settings, incarnation, linkNumber, revision };
     link.send(entryHello.entryHello(own));
     const hello = await link.receive();
@@ -256,29 +283,31 @@
       pushedAt: -Infinity,
     };
     this.#peers.set(host, peer);
-    this.#hear(host, hello.revision);
-    // Configuration goes over neighbours' links, so they are looked after in
-    // full; there are many more partners in lending, who can wait.
-    link.isBusy = () => this.#dialling.has(host);
-    link.onHeartbeat = (beat) => this.#hear(host, beat.revision);
+    this.#noteRevision(host, hello.revision);
+    // Links to neighbours carry the configuration, so they always get the full
+    // heartbeat rate. The many on-demand links, over which entries lend each
+    // other account limits, need less.
+    link.isBusy = () => this.#dialTasks.has(host);
+    link.onHeartbeat = (heartbeat) =>
+      this.#noteRevision(host, heartbeat.revision);
     logger.event(common.EventCode.LinkEstablished, { peer: host });
-    this.#changed.announce();
-    // A process that starts is known to nobody, and knows nobody.
+    this.#linksChanged.announce();
+    // A process that starts knows no other entry, and no entry knows it.
     link.send({ kind: wire.MessageKind.Members, members: [members.self] });
     this.#compareMembers(link);
     this.#pushTo(host);
     this.parameters.onLinked(host);
     for await (const message of link.messages()) {
       if (link.end !== undefined) break;
-      this.lastHeardAt = common.now();
+      this.lastReceivedAt = common.now();
       this.#handle(host, link, message);
     }
     if (this.#peers.get(host) === peer) this.#peers.delete(host);
-    this.#reportEnd(host, link);
-    this.#changed.announce();
+    this.#reportClosed(host, link);
+    this.#linksChanged.announce();
   }
 
-  #reportEnd(host: string, link: wire.Link): void {
+  #reportClosed(host: string, link: wire.Link): void {
     const { logger, metrics, lifeCycle } = this.parameters;
     if (lifeCycle.closing || link.end === wire.LinkEnd.Replaced) return;
     const silent = link.end === wire.LinkEnd.Silent;
@@ -289,27 +318,31 @@
     logger.event(code, { peer: host, reason: link.end });
   }
 
-  /** A peer with a newer revision than ours is asked for it. */
-  #hear(host: string, revision: number): void {
-    const { keeper } = this.parameters;
-    this.lastHeardAt = common.now();
+  /**
+   * Records the revision that a peer reports. Requests the configuration from a
+   * peer that has a newer one, and pushes it to a peer that has an older one.
+   */
+  #noteRevision(host: string, revision: number): void {
+    const { currentConfiguration } = this.parameters;
+    this.lastReceivedAt = common.now();
     const peer = this.#peers.get(host);
     if (peer) peer.revision = Math.max(peer.revision, revision);
-    keeper.hear(revision);
+    currentConfiguration.noteRevision(revision);
     this.acks.confirm(host, revision);
-    if (revision > keeper.revision) {
+    if (revision > currentConfiguration.revision) {
       const kind = wire.MessageKind.ConfigurationRequest;
-      peer?.link.send({ kind, held: keeper.held() });
-    } else if (revision < keeper.revision && peer) {
-      // A heartbeat may have crossed the push; one still old later did not.
+      peer?.link.send({ kind, held: currentConfiguration.sectionRevisions() });
+    } else if (revision < currentConfiguration.revision && peer) {
+      // A heartbeat with an old revision may have crossed the last push. If it
+      // comes later than that, the push had no effect and is repeated.
       const age = common.now() - peer.pushedAt;
-      if (age > PUSH_AGAIN_MILLISECONDS) peer.revision = revision;
+      if (age > PUSH_RETRY_MILLISECONDS) peer.revision = revision;
       this.#pushTo(host);
     }
   }
 
   #handle(host: string, link: wire.Link, message: wire.Message): void {
-    const { members, keeper } = this.parameters;
+    const { members, currentConfiguration } = this.parameters;
     switch (message.kind) {
       case wire.MessageKind.Members:
         for (const member of message.members) members.merge(member);
@@ -323,24 +356,27 @@
         const { head, sections } = message;
         const peer = this.#peers.get(host);
         if (peer) peer.revision = Math.max(peer.revision, head.revision);
-        const outcome = keeper.adopt(head, sections);
+        const outcome = currentConfiguration.adopt(head, sections);
         this.acks.confirm(host, head.revision);
-        if (head.revision === keeper.revision) {
+        if (head.revision === currentConfiguration.revision) {
           this.acks.begin(head.revision, host);
         }
-        if (outcome !== configurationKeeper.AdoptOutcome.Incomplete) return;
+        if (outcome !== configurationHolder.AdoptOutcome.Incomplete) return;
         const kind = wire.MessageKind.ConfigurationRequest;
-        return link.send({ kind, held: keeper.held() });
+        return link.send({
+          kind,
+          held: currentConfiguration.sectionRevisions(),
+        });
       }
       case wire.MessageKind.InForce:
-        for (const one of message.hosts) {
-          this.acks.confirm(one, message.revision);
+        for (const confirmedHost of message.hosts) {
+          this.acks.confirm(confirmedHost, message.revision);
         }
         return;
       case wire.MessageKind.ConfigurationRequest: {
-        const { view } = keeper;
+        const { view } = currentConfiguration;
         if (!view) return;
-        const sections = keeper.missingFor(message.held);
+        const sections = currentConfiguration.sectionsMissingFor(message.held);
         const kind = wire.MessageKind.ConfigurationPush;
         return link.send({ kind, head: view.head, sections });
       }
@@ -350,8 +386,9 @@
   }
 
   /**
-   * Whatever gossip missed is found by comparing. All members were sent in place
-   * of a digest once; at 330 entries that was a tenth of the budget of a node.
+   * Sends a peer the digest of the member table, so that it sends its members
+   * if they differ. This repairs what gossip missed. Sending all members in
+   * place of a digest would use a tenth of a node's budget at 330 entries.
    */
   #compareMembers(link: wire.Link): void {
     const { digest } = this.parameters.members;
@@ -376,18 +413,18 @@
   async #compareRepeatedly(signal: AbortSignal): Promise<void> {
     const { random } = this.parameters;
     while (!signal.aborted) {
-      await common.sleep(COMPARE_MILLISECONDS, signal);
+      await common.sleep(COMPARE_INTERVAL_MILLISECONDS, signal);
       if (this.#peers.size === 0) continue;
       this.#compareMembers(random.pick([...this.#peers.values()]).link);
       this.#closeIdle();
     }
   }
 
-  /** Ends on-demand links that are no neighbour's and carry nothing. */
+  /** Closes links to non-neighbours that have not been used recently. */
   #closeIdle(): void {
-    const oldest = common.now() - IDLE_LINK_MILLISECONDS;
+    const oldest = common.now() - MAX_IDLE_MILLISECONDS;
     for (const [host, { link }] of this.#peers) {
-      if (this.#dialling.has(host)) continue;
+      if (this.#dialTasks.has(host)) continue;
       if (link.lastUsedAt < oldest) link.close();
     }
   }
--- a/packages/daemon/src/mesh/entry_mesh.ts
+++ b/packages/daemon/src/mesh/entry_mesh.ts
@@ -7,113 +7,135 @@
 import * as documentExchange from "./document_exchange.ts";
 import type * as memberRows from "./member_rows.ts";
 import * as meshPeer from "./mesh_peer.ts";
-import * as stampClock from "./stamp_clock.ts";
+import * as heartbeatClockModule from "./heartbeat_clock.ts";
 
-/** Time between two beats, in milliseconds: the lag of counts between entries. */
-const BEAT_MILLISECONDS = 300;
-/** Silence after which callers are no longer sent to an entry. */
-const UNHEARD_MILLISECONDS = 1_000;
-/** Silence after which a link is replaced, here and between ranks. */
+/** Time between two heartbeats; request counts of peers lag by this much. */
+const HEARTBEAT_INTERVAL_MILLISECONDS = 300;
+/** Age of its last heartbeat at which an entry counts as unreachable. */
+const MAX_HEARTBEAT_AGE_MILLISECONDS = 1_000;
+/** Timing of links between entries and between ranks, in milliseconds. */
 export const LINK_TIMING: wire.LinkTiming = {
   heartbeat: 500,
   silentAfter: 1_500,
   connectTimeout: 500,
 };
-/** Pauses between attempts to open a link. */
-const FIRST_PAUSE_MILLISECONDS = 100;
-const LONGEST_PAUSE_MILLISECONDS = 1_000;
-/** Delay before the end that normally waits to be dialled dials itself. */
+/** Shortest and longest pause between attempts to open a link. */
+const MIN_PAUSE_MILLISECONDS = 100;
+const MAX_PAUSE_MILLISECONDS = 1_000;
+/**
+ * Delay before the entry with the later name dials. Normally the other entry
+ * has dialled by then; without the delay both would dial at the same moment.
+ */
 const SECOND_DIALLER_DELAY_MILLISECONDS = 400;
-/** Time without any word after which an entry is taken for gone for good. */
-const FORGET_MILLISECONDS = 60_000;
-/** How often it is looked whether the table came back, if nothing is announced. */
-const EPOCH_LOOK_MILLISECONDS = 5_000;
-/** Pause before the store is asked again for the other entries. */
-const REGISTER_PAUSE_MILLISECONDS = 500;
+/** Time without a message after which an entry counts as departed. */
+const FORGET_AFTER_MILLISECONDS = 60_000;
+/**
+ * How often this entry checks for a new epoch of the table, if none is
+ * announced.
+ */
+const EPOCH_CHECK_MILLISECONDS = 5_000;
+/**
+ * Pause before this entry repeats a failed registration or read of the rows.
+ */
+const REGISTER_RETRY_MILLISECONDS = 500;
 /**
- * Word by which processes of one system know each other. The hosts' settings
- * hold no secret; it keeps out strays, not attackers.
+ * Key that processes of one deployment present when they open a link. It is no
+ * secret, because the hosts' settings contain none: it keeps out processes that
+ * connect by mistake, not attackers.
  */
-export const LINK_WORD = "geraniumkeel";
+export const LINK_KEY = "geraniumkeel";
 
-/** What the mesh of entries needs. */
+/** What an `EntryMesh` is created with. */
 export interface EntryMeshParameters {
   self: wire.MeshMember;
   incarnation: string;
   rows: memberRows.MemberRows;
-  /** Where other entries may be found while the store is away. */
+  /** Addresses of other entries, for when the store is unavailable. */
   seeds: { address: string; port: number }[];
   configuration: traffic.ProvenValue<traffic.TrafficConfiguration>;
   runners: traffic.ProvenValue<traffic.RunnerList>;
+  /** Whether callers may be sent to this entry. */
   ready: () => boolean;
+  /** Whether the store answered this entry's latest call. */
   storeReachable: () => boolean;
+  /** Requests under way from this entry, by runner. */
   outstanding: () => [string, number][];
-  /** Counts of another entry; `undefined` when it is gone. */
+  /**
+   * Receives the requests under way from another entry, by runner; `undefined`
+   * when the link to it is lost.
+   */
   onOutstanding: (
     host: string,
     counts: Map<string, number> | undefined,
   ) => void;
-  /** What is told of requests that may end their runners. */
+  /** Exchange of suspicions: requests that may have crashed their runners. */
   suspicions: {
-    take: (message: wire.Suspicions, host: string) => void;
-    /** For an entry that was just linked; `undefined` if there are none. */
-    everything: () => wire.Suspicions | undefined;
+    receive: (message: wire.Suspicions, host: string) => void;
+    /**
+     * All suspicions, for an entry that was just linked; `undefined` if none.
+     */
+    initialMessage: () => wire.Suspicions | undefined;
   };
   random: common.Random;
   logger: common.Logger;
   lifeCycle: common.LifeCycle;
 }
 
-/** An entry that is known, linked or not. */
+/** Another entry that this one knows of, linked or not. */
 interface KnownMember {
   member: wire.MeshMember;
-  heardAt: number;
+  /** When its last message came; before the first, when it became known. */
+  lastReceivedAt: number;
   /** Revision of its row; `undefined` if it was not read from the store. */
   revision: backingServices.Revision | undefined;
+  /** Stops the task that dials it. */
   dialling: AbortController;
 }
 
 /**
- * Links between all entries. Over them flow who is ready, requests under way at
- * runners, newer documents, and proofs of how fresh these are, so that an entry
- * that is cut off from the store, or that does not ask it, knows what the others
- * know.
+ * Links from this entry to all others. Over them, entries exchange whether they
+ * are ready, their requests under way at runners, suspicions, newer documents
+ * and the proofs of these. So an entry that cannot reach the store, or that
+ * leaves reading it to others, still has the newest documents.
  */
 export class EntryMesh {
   readonly #known = new Map<string, KnownMember>();
-  readonly #peers = new Map<string, meshPeer.MeshPeer>();
-  readonly #stamps = new stampClock.StampClock();
+  readonly #linked = new Map<string, meshPeer.MeshPeer>();
+  readonly #heartbeatClock = new heartbeatClockModule.HeartbeatClock();
   readonly #documents: documentExchange.DocumentExchange;
-  readonly #changed = new common.ChangeNotice();
+  /** Announces that a link opened or closed. */
+  readonly #linksChanged = new common.ChangeNotice();
   #leaving = false;
-  /** Revision of the own row, once it is certain. */
+  /** Revision of this entry's row, once it is certain to be written. */
   #ownRevision: backingServices.Revision | undefined;
 
   constructor(readonly parameters: EntryMeshParameters) {
-    const stamps = this.#stamps;
+    const heartbeatClock = this.#heartbeatClock;
     this.#documents = new documentExchange.DocumentExchange({
       ...parameters,
-      stamps,
+      heartbeatClock,
     });
   }
 
-  /** Accepts links and looks for the other entries. */
+  /** Accepts links, registers this entry, and finds and dials the others. */
   start(server: http.Server): void {
     const { lifeCycle, configuration, runners } = this.parameters;
     const accepting = wire.acceptLinks({
       server,
       path: listenModule.LINK_PATH,
-      key: LINK_WORD,
+      key: LINK_KEY,
       timing: LINK_TIMING,
-      heartbeat: noHeartbeat,
+      heartbeat: emptyHeartbeat,
       onLink: (link) => {
         lifeCycle.run("peer", (signal) => this.#serve(link, signal));
       },
     });
     lifeCycle.own({ name: "links", close: () => accepting.close() });
-    lifeCycle.every(BEAT_MILLISECONDS, () => this.#beat());
+    lifeCycle.every(HEARTBEAT_INTERVAL_MILLISECONDS, () =>
+      this.#sendHeartbeats(),
+    );
     lifeCycle.run("register", (signal) => this.#register(signal));
-    lifeCycle.run("seeds", (signal) => this.#greetSeeds(signal));
+    lifeCycle.run("seeds", (signal) => this.#dialSeeds(signal));
     lifeCycle.run("push-configuration", (signal) =>
       this.#pushChanges(configuration.changes, signal),
     );
@@ -122,17 +144,21 @@
     );
   }
 
-  /** Entries that callers may be sent to; this one among them if it is ready. */
+  /** Entries that callers may be sent to, including this one if it is ready. */
   readyMembers(): wire.MeshMember[] {
     const { self, ready } = this.parameters;
     const members = ready() && !this.#leaving ? [self] : [];
-    for (const peer of this.#peers.values()) {
-      if (this.#heard(peer) && peer.beat?.ready) members.push(peer.member);
+    for (const peer of this.#linked.values()) {
+      if (this.#isReachable(peer) && peer.heartbeat?.ready)
+        members.push(peer.member);
     }
     return members;
   }
 
-  /** All entries that are known and not said to be leaving. */
+  /**
+   * All known entries, ready or not, except those that announced that they
+   * leave.
+   */
   knownMembers(): wire.MeshMember[] {
     const { self } = this.parameters;
     const members = this.#leaving ? [] : [self];
@@ -140,70 +166,76 @@
     return members;
   }
 
-  /** All other entries, each with its last beat if it is heard. */
-  others(): { member: wire.MeshMember; beat: wire.MeshBeat | undefined }[] {
+  /**
+   * All other known entries, each with its last heartbeat if it is reachable.
+   */
+  peers(): { member: wire.MeshMember; beat: wire.MeshHeartbeat | undefined }[] {
     return [...this.#known.values()].map(({ member }) => {
-      const peer = this.#peers.get(member.host);
-      const beat = peer && this.#heard(peer) ? peer.beat : undefined;
-      return { member, beat };
+      const peer = this.#linked.get(member.host);
+      const heartbeat =
+        peer && this.#isReachable(peer) ? peer.heartbeat : undefined;
+      return { member, beat: heartbeat };
     });
   }
 
-  /** Number of entries, heard or not, this one included. */
+  /** Number of known entries, reachable or not, including this one. */
   get size(): number {
     return this.#known.size + 1;
   }
 
   /**
-   * Place of this entry among those that reach the store and are heard, in an
-   * order that all agree on. The first ones follow the store for all.
+   * Position of this entry among the reachable entries that reach the store, in
+   * an order that all entries agree on; 0 is the first. The first entries poll
+   * the store on behalf of all. An entry that does not reach the store comes
+   * last.
    */
   followPlace(): number {
     const { self, storeReachable } = this.parameters;
     const hosts = storeReachable() ? [self.host] : [];
-    for (const peer of this.#peers.values()) {
-      if (!this.#heard(peer) || !peer.beat?.storeReachable) continue;
-      if (!peer.beat.leaving) hosts.push(peer.member.host);
+    for (const peer of this.#linked.values()) {
+      if (!this.#isReachable(peer) || !peer.heartbeat?.storeReachable) continue;
+      if (!peer.heartbeat.leaving) hosts.push(peer.member.host);
     }
     const place = common.rendezvousOrder("follow", hosts).indexOf(self.host);
     return place < 0 ? hosts.length : place;
   }
 
   /** Sends a message to all linked entries but one. */
-  tell(message: wire.Message, except?: string): void {
-    for (const [host, peer] of this.#peers) {
+  broadcast(message: wire.Message, except?: string): void {
+    for (const [host, peer] of this.#linked) {
       if (host !== except) peer.link.send(message);
     }
   }
 
-  /** Tells the others at once that this process stops. */
+  /** Notifies the other entries at once that this process stops. */
   async leave(): Promise<void> {
     const { rows, self } = this.parameters;
     this.#leaving = true;
-    this.#beat();
+    this.#sendHeartbeats();
     if (this.#ownRevision) await rows.remove(self.host, this.#ownRevision);
   }
 
-  /** What the state dump says of the mesh. */
+  /** The mesh's part of the state dump. */
   describe(): unknown {
     return {
       known: [...this.#known.keys()],
-      peers: [...this.#peers.values()].map((peer) => ({
+      peers: [...this.#linked.values()].map((peer) => ({
         host: peer.member.host,
-        silence: Math.round(peer.silence),
-        beat: peer.beat,
+        silence: Math.round(peer.heartbeatAge),
+        beat: peer.heartbeat,
       })),
       followPlace: this.followPlace(),
     };
   }
 
-  #heard(peer: meshPeer.MeshPeer): boolean {
-    return peer.open && peer.silence < UNHEARD_MILLISECONDS;
+  #isReachable(peer: meshPeer.MeshPeer): boolean {
+    return peer.open && peer.heartbeatAge < MAX_HEARTBEAT_AGE_MILLISECONDS;
   }
 
   /**
-   * Writes the own row, and learns of the others: at the start, and again whenever the
-   * table came back from a copy, which may lack the row.
+   * Writes this entry's row and reads those of the others: at the start, and
+   * again in each new epoch of the table. An epoch begins when the table is
+   * restored from a copy, which may lack the row.
    */
   async #register(signal: AbortSignal): Promise<void> {
     const { rows, self } = this.parameters;
@@ -211,37 +243,38 @@
       this.#ownRevision ??= await rows.register(self);
       const read = this.#ownRevision ? await rows.read() : undefined;
       if (read?.isErr() ?? true) {
-        await common.sleep(REGISTER_PAUSE_MILLISECONDS, signal);
+        await common.sleep(REGISTER_RETRY_MILLISECONDS, signal);
         continue;
       }
       for (const { member, revision } of read?.unwrapOr([]) ?? []) {
-        this.#learn(member, revision);
+        this.#noteMember(member, revision);
       }
       await this.#nextEpoch(signal);
       this.#ownRevision = undefined;
     }
   }
 
-  /** Resolves when the own row is of an epoch of the table that is over. */
+  /** Resolves when the table's epoch is no longer that of this entry's row. */
   async #nextEpoch(signal: AbortSignal): Promise<void> {
     const { epoch } = this.parameters.rows;
     const isOver = () => this.#ownRevision?.epoch !== epoch.number;
     while (!signal.aborted && !isOver()) {
-      await epoch.began.next(EPOCH_LOOK_MILLISECONDS, signal);
+      await epoch.began.next(EPOCH_CHECK_MILLISECONDS, signal);
     }
   }
 
   /**
-   * Opens a link to each seed. Normally the store tells of the others sooner; a
-   * process that starts while the store is away finds them this way alone.
+   * Dials each seed until this process has a configuration. Normally it finds
+   * the other entries in the store first; a process that starts while the store
+   * is unavailable finds them only through the seeds.
    */
-  async #greetSeeds(signal: AbortSignal): Promise<void> {
+  async #dialSeeds(signal: AbortSignal): Promise<void> {
     const { seeds, self } = this.parameters;
     const others = seeds.filter(({ address }) => address !== self.address);
     await common.sleep(SECOND_DIALLER_DELAY_MILLISECONDS, signal);
     while (!signal.aborted && !this.parameters.configuration.value) {
       for (const { address, port } of others) {
-        const linked = [...this.#peers.values()].some(
+        const linked = [...this.#linked.values()].some(
           (peer) => peer.open && peer.member.address === address,
         );
         if (linked) continue;
@@ -249,11 +282,12 @@
           this.#dialOnce(address, port, seedSignal),
         );
       }
-      await common.sleep(LONGEST_PAUSE_MILLISECONDS, signal);
+      await common.sleep(MAX_PAUSE_MILLISECONDS, signal);
     }
   }
 
-  #learn(
+  /** Adds an entry to the known ones and starts to dial it, or updates it. */
+  #noteMember(
     member: wire.MeshMember,
     revision: backingServices.Revision | undefined,
   ): void {
@@ -266,11 +300,19 @@
       return;
     }
     const dialling = new AbortController();
-    const heardAt = common.now();
-    this.#known.set(member.host, { member, heardAt, revision, dialling });
+    const lastReceivedAt = common.now();
+    this.#known.set(member.host, {
+      member,
+      lastReceivedAt,
+      revision,
+      dialling,
+    });
     logger.event(common.EventCode.HostAppeared, { peer: member.host });
     lifeCycle.run(`dial ${member.host}`, (signal) =>
-      this.#keepLinked(member.host, AbortSignal.any([signal, dialling.signal])),
+      this.#maintainLink(
+        member.host,
+        AbortSignal.any([signal, dialling.signal]),
+      ),
     );
   }
 
@@ -283,23 +325,26 @@
     logger.event(common.EventCode.HostDisappeared, { peer: host });
   }
 
-  /** Dials an entry whenever there is no link to it, until it is forgotten. */
-  async #keepLinked(host: string, signal: AbortSignal): Promise<void> {
+  /**
+   * Dials an entry whenever there is no link to it. Without a message for
+   * `FORGET_AFTER_MILLISECONDS`, forgets the entry and removes its row.
+   */
+  async #maintainLink(host: string, signal: AbortSignal): Promise<void> {
     const { self, random, rows } = this.parameters;
     const backOff = new common.BackOff({
-      firstMilliseconds: FIRST_PAUSE_MILLISECONDS,
-      longestMilliseconds: LONGEST_PAUSE_MILLISECONDS,
+      firstMilliseconds: MIN_PAUSE_MILLISECONDS,
+      longestMilliseconds: MAX_PAUSE_MILLISECONDS,
       random,
     });
     while (!signal.aborted) {
       const known = this.#known.get(host);
       if (!known) return;
-      if (this.#peers.get(host)?.open) {
+      if (this.#linked.get(host)?.open) {
         backOff.reset();
-        await this.#changed.next(LONGEST_PAUSE_MILLISECONDS, signal);
+        await this.#linksChanged.next(MAX_PAUSE_MILLISECONDS, signal);
         continue;
       }
-      if (common.now() - known.heardAt > FORGET_MILLISECONDS) {
+      if (common.now() - known.lastReceivedAt > FORGET_AFTER_MILLISECONDS) {
         this.#forget(host);
         if (known.revision) await rows.remove(host, known.revision);
         return;
@@ -307,7 +352,7 @@
       const pause = backOff.pause();
       const later = self.host < host ? 0 : SECOND_DIALLER_DELAY_MILLISECONDS;
       await common.sleep(pause + later, signal);
-      if (signal.aborted || this.#peers.get(host)?.open) continue;
+      if (signal.aborted || this.#linked.get(host)?.open) continue;
       const { address, linkPort } = known.member;
       await this.#dialOnce(address, linkPort, signal);
     }
@@ -320,14 +365,17 @@
   ): Promise<void> {
     const dialled = await wire.dial({
       url: `ws://${address}:${port}${listenModule.LINK_PATH}`,
-      key: LINK_WORD,
+      key: LINK_KEY,
       timing: LINK_TIMING,
-      heartbeat: noHeartbeat,
+      heartbeat: emptyHeartbeat,
     });
     if (dialled.isOk()) await this.#serve(dialled.value, signal);
   }
 
-  /** Serves one link until it ends. */
+  /**
+   * Exchanges hello messages on a link, then handles its messages until it
+   * closes.
+   */
   async #serve(link: wire.Link, signal: AbortSignal): Promise<void> {
     const { self, incarnation, logger } = this.parameters;
     link.closeOn(signal);
@@ -342,77 +390,81 @@
     const { host } = hello.member;
     if (host === self.host) return link.close();
     const peer = new meshPeer.MeshPeer(hello.member, hello.incarnation, link);
-    this.#peers.set(host, peer);
-    this.#learn(hello.member, undefined);
-    for (const other of hello.others) this.#learn(other, undefined);
-    this.#changed.announce();
+    this.#linked.set(host, peer);
+    this.#noteMember(hello.member, undefined);
+    for (const other of hello.others) this.#noteMember(other, undefined);
+    this.#linksChanged.announce();
     logger.event(common.EventCode.LinkEstablished, { peer: host });
-    this.#sendBeat(peer, this.#stamps.next());
-    const suspicions = this.parameters.suspicions.everything();
+    this.#sendHeartbeat(peer, this.#heartbeatClock.nextStamp());
+    const suspicions = this.parameters.suspicions.initialMessage();
     if (suspicions) link.send(suspicions);
     for await (const message of link.messages()) this.#receive(peer, message);
     logger.event(common.EventCode.LinkLost, { peer: host, end: link.end });
-    if (this.#peers.get(host) === peer) {
-      this.#peers.delete(host);
+    if (this.#linked.get(host) === peer) {
+      this.#linked.delete(host);
       this.parameters.onOutstanding(host, undefined);
     }
-    this.#changed.announce();
+    this.#linksChanged.announce();
   }
 
   #receive(peer: meshPeer.MeshPeer, message: wire.Message): void {
     const { onOutstanding } = this.parameters;
     const known = this.#known.get(peer.member.host);
-    if (known) known.heardAt = common.now();
+    if (known) known.lastReceivedAt = common.now();
     switch (message.kind) {
-      case wire.MessageKind.MeshBeat: {
+      case wire.MessageKind.MeshHeartbeat: {
         peer.receive(message);
-        this.#hearEpoch(message.tableEpoch);
+        this.#noteEpoch(message.tableEpoch);
         onOutstanding(peer.member.host, new Map(message.outstanding));
-        this.#documents.takeProofs(message);
+        this.#documents.receiveProofs(message);
         this.#documents.pushNewer(peer);
         if (message.leaving) this.#forget(peer.member.host);
         return;
       }
       case wire.MessageKind.MeshConfiguration:
       case wire.MessageKind.MeshRunners:
-        return this.#documents.take(message, peer);
+        return this.#documents.receive(message, peer);
       case wire.MessageKind.Suspicions:
-        return this.parameters.suspicions.take(message, peer.member.host);
+        return this.parameters.suspicions.receive(message, peer.member.host);
       default:
-        // A message of another duty: both ends run the same program, so it is
-        // a fault of the peer, and its link goes.
+        // No entry sends any other kind here, and both ends run the same
+        // program, so the message is a fault of the peer. Its link is closed.
         peer.link.close(wire.LinkEnd.Unreadable);
     }
   }
 
-  /** Few entries ask the table; the others learn from them that it came back. */
-  #hearEpoch(told: number): void {
+  /**
+   * Applies a peer's epoch of the table if it is higher. Only few entries poll
+   * the table; the others learn from them that it was restored from a copy.
+   */
+  #noteEpoch(reportedEpoch: number): void {
     const { epoch } = this.parameters.rows;
-    if (told > epoch.number) epoch.note(String(told), common.now());
+    if (reportedEpoch > epoch.number)
+      epoch.note(String(reportedEpoch), common.now());
   }
 
-  /** Passes a newer document on as soon as it is here. */
+  /** Pushes a document to the peers that lack it as soon as it changes here. */
   async #pushChanges(
     changes: common.ChangeNotice,
     signal: AbortSignal,
   ): Promise<void> {
     while (!signal.aborted) {
-      await changes.next(LONGEST_PAUSE_MILLISECONDS, signal);
-      for (const peer of this.#peers.values()) {
+      await changes.next(MAX_PAUSE_MILLISECONDS, signal);
+      for (const peer of this.#linked.values()) {
         this.#documents.pushNewer(peer);
       }
     }
   }
 
-  #beat(): void {
-    const stamp = this.#stamps.next();
-    for (const peer of this.#peers.values()) this.#sendBeat(peer, stamp);
+  #sendHeartbeats(): void {
+    const stamp = this.#heartbeatClock.nextStamp();
+    for (const peer of this.#linked.values()) this.#sendHeartbeat(peer, stamp);
   }
 
-  #sendBeat(peer: meshPeer.MeshPeer, stamp: number): void {
+  #sendHeartbeat(peer: meshPeer.MeshPeer, stamp: number): void {
     const { ready } = this.parameters;
     peer.link.send({
-      kind: wire.MessageKind.MeshBeat,
+      kind: wire.MessageKind.MeshHeartbeat,
       stamp,
       ...peer.echo(),
       ready: ready() && !this.#leaving,
@@ -425,7 +477,7 @@
   }
 }
 
-/** For links whose own heartbeats need tell nothing: their messages do. */
-export function noHeartbeat(): { clock: number; revision: number } {
+/** Heartbeat of links whose other messages carry all state: it reports none. */
+export function emptyHeartbeat(): { clock: number; revision: number } {
   return { clock: 0, revision: 0 };
 }
--- /dev/null
+++ b/packages/daemon/src/mesh/heartbeat_clock.ts
@@ -0,0 +1,54 @@
+import * as common from "@geraniumkeel/common";
+
+/** Heartbeats whose sending time is remembered: those of several seconds. */
+const MAX_REMEMBERED_HEARTBEATS = 64;
+
+/**
+ * Numbers the heartbeats of this process and remembers when each was sent, in
+ * order to date statements of peers by this process's own clocks. A peer's
+ * heartbeat carries the number of the last heartbeat that the peer received,
+ * which proves that the peer sent its own later than that. A message may be
+ * delayed in a connection for seconds while the network is cut. Because its age
+ * counts from the heartbeat that it echoes, a late proof never appears more
+ * recent than it is.
+ */
+export class HeartbeatClock {
+  readonly #sentAt: { stamp: number; at: common.Instant }[] = [];
+  #stamp = 0;
+
+  /** Returns the number for a heartbeat that is sent now. */
+  nextStamp(): number {
+    this.#stamp++;
+    this.#sentAt[this.#stamp % MAX_REMEMBERED_HEARTBEATS] = {
+      stamp: this.#stamp,
+      at: common.instant(),
+    };
+    return this.#stamp;
+  }
+
+  /**
+   * The latest moment, by this process's clocks, at which a peer's statement
+   * was certainly true. `undefined` if the peer has no proof, or if it echoes
+   * no heartbeat that is still remembered.
+   */
+  provenAt(parameters: {
+    echoedStamp: number;
+    /** Milliseconds from the peer's receipt of the heartbeat to its message. */
+    echoedAge: number;
+    /**
+     * Age of the statement when the peer sent it, in milliseconds; -1 if the
+     * peer has no proof.
+     */
+    factAge: number;
+  }): common.Instant | undefined {
+    const { echoedStamp, echoedAge, factAge } = parameters;
+    if (echoedStamp < 0 || factAge < 0) return undefined;
+    const sent = this.#sentAt[echoedStamp % MAX_REMEMBERED_HEARTBEATS];
+    if (sent?.stamp !== echoedStamp) return undefined;
+    const timeSinceSending = echoedAge - factAge;
+    return {
+      monotonic: sent.at.monotonic + timeSinceSending,
+      wall: sent.at.wall + timeSinceSending,
+    };
+  }
+}
--- /dev/null
+++ b/packages/daemon/src/mesh/heartbeat_clock_test.ts
@@ -0,0 +1,47 @@
+import * as ava from "ava";
+import * as common from "@geraniumkeel/common";
+import * as heartbeatClock from "./heartbeat_clock.ts";
+
+const test = ava.default;
+
+// A network that was cut may deliver a peer's proof seconds late. The receiver
+// must not take the proof for recent: it counts from its own heartbeat that the
+// peer echoed.
+test("a proof dates from the echoed heartbeat minus the age of the proof", (t) => {
+  const clock = new heartbeatClock.HeartbeatClock();
+  const before = common.instant();
+  const stamp = clock.nextStamp();
+  const at = clock.provenAt({
+    echoedStamp: stamp,
+    echoedAge: 0,
+    factAge: 250,
+  });
+  t.true(at !== undefined);
+  t.true((at?.monotonic ?? 0) <= common.instant().monotonic - 250);
+  t.true((at?.monotonic ?? 0) >= before.monotonic - 251);
+});
+
+test("a proof is later by the time that the peer waited before its echo", (t) => {
+  const clock = new heartbeatClock.HeartbeatClock();
+  const echoedStamp = clock.nextStamp();
+  const early = clock.provenAt({ echoedStamp, echoedAge: 0, factAge: 100 });
+  const late = clock.provenAt({ echoedStamp, echoedAge: 80, factAge: 100 });
+  t.is(Math.round((late?.monotonic ?? 0) - (early?.monotonic ?? 0)), 80);
+});
+
+test("an echo of a heartbeat never sent, or sent long ago, proves nothing", (t) => {
+  const clock = new heartbeatClock.HeartbeatClock();
+  const first = clock.nextStamp();
+  for (let count = 0; count < 100; count++) clock.nextStamp();
+  for (const echoedStamp of [-1, first, 5_000]) {
+    const at = clock.provenAt({ echoedStamp, echoedAge: 0, factAge: 0 });
+    t.is(at, undefined);
+  }
+});
+
+test("an echo from a peer that has no proof proves nothing", (t) => {
+  const clock = new heartbeatClock.HeartbeatClock();
+  const echoedStamp = clock.nextStamp();
+  const at = clock.provenAt({ echoedStamp, echoedAge: 0, factAge: -1 });
+  t.is(at, undefined);
+});
--- a/packages/daemon/src/settings/listen_test.ts
+++ b/packages/daemon/src/settings/listen_test.ts
@@ -52,18 +52,21 @@
       heartbeat,
       certificateAuthority,
     });
-  t.true((await dial(KEY)).isErr(), "the certificate is not trusted");
+  t.true(
+    (await dial(KEY)).isErr(),
+    "a dialler that does not trust the certificate fails",
+  );
   const wrong = await dial("wrong", ca);
   t.true(wrong.isErr() && wrong.error.refused);
   const link = (await dial(KEY, ca))._unsafeUnwrap();
   link.send({ kind: wire.MessageKind.Leaving });
-  const far = await accepted.receive();
-  t.is((await far?.receive())?.kind, wire.MessageKind.Leaving);
+  const acceptedLink = await accepted.receive();
+  t.is((await acceptedLink?.receive())?.kind, wire.MessageKind.Leaving);
   await lifeCycle.close();
   await dispatcher.destroy();
 });
 
-test("a missing certificate is a clear failure", async (t) => {
+test("the failure of a listener without its certificate file names the listener", async (t) => {
   const listener = tlsListener();
   const opened = await listenModule.listen({
     name: "callers",
@@ -73,7 +76,7 @@
   t.is(opened.isErr() && opened.error.listener, "callers");
 });
 
-test("without TLS only loopback is allowed", (t) => {
+test("a listener without TLS must use a loopback address", (t) => {
   const open = settings.LISTENER.safeParse({ address: "0.0.0.0", port: 80 });
   t.false(open.success);
   t.regex(open.error?.issues[0].message ?? "", /give tls/);
--- a/packages/wire/src/compact_mesh_beat.ts
+++ b/packages/wire/src/compact_mesh_heartbeat.ts
@@ -2,47 +2,50 @@
 import type * as mesh from "./mesh.ts";
 import * as messageKind from "./message_kind.ts";
 
-/** What the flags of a beat say, a bit each. */
+/** Flags of a heartbeat, one bit each. */
 enum Flag {
   Ready = 1,
   Leaving = 2,
   StoreReachable = 4,
 }
 
-/** Numbers of a beat before its counts by runner. */
+/** Number of list items that precede the request counts by runner. */
 const HEAD_LENGTH = 10;
 
 /**
- * A beat between entries as a plain list, which goes over each link several times a
- * second: by names it takes three times the bytes. Ages are whole milliseconds, rounded
- * to the side on which a proof counts as older than it is.
+ * Packs a heartbeat between entries into a plain list. Each link carries
+ * several a second; an object with field names would take three times the
+ * bytes. Ages are rounded to integer milliseconds, in the direction that makes
+ * a proof appear older than it is.
  */
-export function meshBeatToList(beat: mesh.MeshBeat): unknown[] {
-  const { configuration, runners } = beat;
+export function meshHeartbeatToList(heartbeat: mesh.MeshHeartbeat): unknown[] {
+  const { configuration, runners } = heartbeat;
   return [
-    beat.kind,
-    beat.stamp,
-    beat.echoedStamp,
-    Math.floor(beat.echoedAge),
-    flagsOf(beat),
-    beat.tableEpoch,
+    heartbeat.kind,
+    heartbeat.stamp,
+    heartbeat.echoedStamp,
+    Math.floor(heartbeat.echoedAge),
+    flagsOf(heartbeat),
+    heartbeat.tableEpoch,
     configuration.version,
     Math.ceil(configuration.age),
     runners.version,
     Math.ceil(runners.age),
-    ...beat.outstanding.flat(),
+    ...heartbeat.outstanding.flat(),
   ];
 }
 
-/** The beat of a list, or `undefined` if it is none. */
-export function meshBeatFromList(list: unknown[]): mesh.MeshBeat | undefined {
+/** Unpacks a list; `undefined` if it is no valid heartbeat. */
+export function meshHeartbeatFromList(
+  list: unknown[],
+): mesh.MeshHeartbeat | undefined {
   const head = list.slice(0, HEAD_LENGTH);
   const outstanding = countsOf(list.slice(HEAD_LENGTH));
   if (!isNumbers.isNumbers(head) || head.length < HEAD_LENGTH) return undefined;
   if (!outstanding) return undefined;
   const [, stamp, echoedStamp, echoedAge, flags, tableEpoch, ...proofs] = head;
   return {
-    kind: messageKind.MessageKind.MeshBeat,
+    kind: messageKind.MessageKind.MeshHeartbeat,
     stamp,
     echoedStamp,
     echoedAge,
@@ -56,8 +59,8 @@
   };
 }
 
-function flagsOf(beat: mesh.MeshBeat): number {
-  const { ready, leaving, storeReachable } = beat;
+function flagsOf(heartbeat: mesh.MeshHeartbeat): number {
+  const { ready, leaving, storeReachable } = heartbeat;
   return (
     (ready ? Flag.Ready : 0) |
     (leaving ? Flag.Leaving : 0) |
@@ -65,7 +68,10 @@
   );
 }
 
-/** Pairs of runner and count, which follow each other in a flat list. */
+/**
+ * Pairs of runner and count from a flat list in which they alternate;
+ * `undefined` if an item has the wrong type.
+ */
 function countsOf(list: unknown[]): [string, number][] | undefined {
   const counts: [string, number][] = [];
   for (let index = 0; index < list.length; index += 2) {
