--- a/packages/daemon/src/forwarding/admit_request.ts
+++ b/packages/daemon/src/forwarding/admit_request.ts
@@ -1,8 +1,8 @@
 import type * as traffic from "@geraniumkeel/traffic";
-import * as forwardRequest from "./forward_request.ts";
+import * as callerRequest from "./caller_request.ts";
 
 /** When a caller is told to come back to an entry that knows too little. */
-const UNREADY_RETRY_MILLISECONDS = 500;
+const NOT_READY_RETRY_MILLISECONDS = 500;
 
 /** A request that may be passed on. */
 export interface AdmittedRequest {
@@ -15,7 +15,7 @@
 /** A request that is answered here. */
 export interface RefusedRequest {
   kind: "refused";
-  refusal: forwardRequest.Refusal;
+  refusal: callerRequest.Refusal;
 }
 
 /**
@@ -25,18 +25,18 @@
  * unknown key or route is not called wrong either.
  */
 export function admitRequest(parameters: {
-  request: forwardRequest.ForwardRequest;
+  request: callerRequest.CallerRequest;
   view: traffic.TrafficView | undefined;
   proofAge: number;
-  longestProofAge: number;
+  maxProofAgeMilliseconds: number;
 }): AdmittedRequest | RefusedRequest {
-  const { request, view, proofAge, longestProofAge } = parameters;
+  const { request, view, proofAge, maxProofAgeMilliseconds } = parameters;
   if (!view) return notRun("no configuration yet");
-  const stale = proofAge > longestProofAge;
+  const stale = proofAge > maxProofAgeMilliseconds;
   const route = view.route(request.host, request.path);
   if (!route) {
     if (stale) return notRun("configuration may be old");
-    return refused(forwardRequest.RefusalKind.NoRoute, "no such route");
+    return refused(callerRequest.RefusalKind.NoRoute, "no such route");
   }
   if (!view.needsKey(route)) {
     return { kind: "admitted", route, account: undefined };
@@ -44,17 +44,17 @@
   if (stale) return notRun("keys may be old");
   const account = view.account(request.key ?? "");
   if (account) return { kind: "admitted", route, account };
-  return refused(forwardRequest.RefusalKind.UnknownKey, "no such key");
+  return refused(callerRequest.RefusalKind.UnknownKey, "no such key");
 }
 
 function notRun(reason: string): RefusedRequest {
-  const kind = forwardRequest.RefusalKind.NotRun;
-  const retryAfterMilliseconds = UNREADY_RETRY_MILLISECONDS;
+  const kind = callerRequest.RefusalKind.NotRun;
+  const retryAfterMilliseconds = NOT_READY_RETRY_MILLISECONDS;
   return { kind: "refused", refusal: { kind, reason, retryAfterMilliseconds } };
 }
 
 function refused(
-  kind: forwardRequest.RefusalKind,
+  kind: callerRequest.RefusalKind,
   reason: string,
 ): RefusedRequest {
   const refusal = { kind, reason, retryAfterMilliseconds: 0 };
--- a/packages/daemon/src/forwarding/answer_relay.ts
+++ b/packages/daemon/src/forwarding/answer_relay.ts
@@ -1,18 +1,18 @@
 import * as neverthrow from "neverthrow";
 import * as traffic from "@geraniumkeel/traffic";
 import * as eventSplitter from "./event_splitter.ts";
-import type * as forwardRequest from "./forward_request.ts";
+import type * as callerRequest from "./caller_request.ts";
 import * as runnerCaller from "./runner_caller.ts";
 
 /** Reads a body to its end; the error says how it broke off. */
-export async function readWhole(
+export async function readCompleteBody(
   body: AsyncIterable<Buffer>,
 ): Promise<neverthrow.Result<Buffer, string>> {
   const pieces: Buffer[] = [];
   try {
     for await (const piece of body) pieces.push(piece);
   } catch (cause) {
-    if (cause instanceof runnerCaller.BrokenAnswer) {
+    if (cause instanceof runnerCaller.TruncatedBody) {
       return neverthrow.err(cause.message);
     }
     throw cause;
@@ -33,7 +33,7 @@
 
   constructor(
     readonly parameters: {
-      sink: forwardRequest.AnswerSink;
+      sink: callerRequest.AnswerSink;
       answerForm: traffic.AnswerForm;
       resumeAfter: string;
       /** Called for each event that is passed on. */
@@ -59,17 +59,17 @@
   ): Promise<neverthrow.Result<void, string>> {
     switch (this.parameters.answerForm) {
       case traffic.AnswerForm.Whole:
-        return this.#relayWhole(answer);
+        return this.#relayComplete(answer);
       case traffic.AnswerForm.Events:
         return this.#relayEvents(answer);
     }
   }
 
-  async #relayWhole(
+  async #relayComplete(
     answer: runnerCaller.RunnerAnswer,
   ): Promise<neverthrow.Result<void, string>> {
-    const whole = await readWhole(answer.body);
-    return whole.map((body) => {
+    const completeBody = await readCompleteBody(answer.body);
+    return completeBody.map((body) => {
       this.parameters.sink.answer(answer.head, body);
     });
   }
@@ -87,12 +87,12 @@
         }
       }
     } catch (cause) {
-      if (cause instanceof runnerCaller.BrokenAnswer) {
+      if (cause instanceof runnerCaller.TruncatedBody) {
         return neverthrow.err(cause.message);
       }
       throw cause;
     }
-    if (splitter.unfinished > 0) return neverthrow.err("event not ended");
+    if (splitter.pendingBytes > 0) return neverthrow.err("event not ended");
     if (!this.#begun) sink.begin(answer.head);
     this.#begun = true;
     sink.end();
@@ -105,13 +105,13 @@
    */
   async #passOn(
     event: eventSplitter.StreamEvent,
-    head: forwardRequest.AnswerHead,
+    head: callerRequest.AnswerHead,
   ): Promise<string | undefined> {
     const { sink } = this.parameters;
     const { number } = event;
     if (number !== undefined) {
-      const expected = this.#lastNumber === undefined;
-      if (!expected && number !== (this.#lastNumber ?? 0) + 1) {
+      const isFirst = this.#lastNumber === undefined;
+      if (!isFirst && number !== (this.#lastNumber ?? 0) + 1) {
         return `event ${number} after ${this.#lastNumber}`;
       }
       this.#lastNumber = number;
--- a/packages/daemon/src/forwarding/forward_request.ts
+++ b/packages/daemon/src/forwarding/caller_request.ts
@@ -4,7 +4,7 @@
 export type Header = [name: string, value: string];
 
 /** One request of a caller that is passed on as it is. */
-export interface ForwardRequest {
+export interface CallerRequest {
   /** The caller's own name for this request. */
   identifier: string;
   method: string;
@@ -19,7 +19,7 @@
   /** Access key; `undefined` if none was sent. */
   key: string | undefined;
   /** How long the caller waits, counted from arrival; 0 if not said. */
-  patienceMilliseconds: number;
+  timeoutMilliseconds: number;
   /** Event after which a stream is to go on; empty for the beginning. */
   resumeAfter: string;
   arrivedAt: common.Instant;
@@ -56,7 +56,7 @@
 /** The caller's side of one request. It is answered once. */
 export interface AnswerSink {
   /** Aborts when the caller has left. */
-  readonly left: AbortSignal;
+  readonly disconnected: AbortSignal;
   /** Answers with a head and a whole body. */
   answer(head: AnswerHead, body: Buffer): void;
   /** Begins an answer of which pieces follow. */
@@ -66,7 +66,7 @@
   /** Ends an answer as complete. */
   end(): void;
   /** Breaks off an answer so that it cannot look complete. */
-  breakOff(): void;
+  abort(): void;
   /** Answers in the system's own name. */
   refuse(refusal: Refusal): void;
 }
--- a/packages/daemon/src/forwarding/choose_runner_test.ts
+++ b/packages/daemon/src/forwarding/choose_runner_test.ts
@@ -16,13 +16,13 @@
     slots: SLOTS,
     sameDataCentre: true,
     failureShare: 0,
-    spared: false,
+    suspended: false,
     ...others,
   };
 }
 
 /** Requests at each runner after many were sent on the same old counts. */
-function sendBlindly(before: number[], requests: number): number[] {
+function sendOnStaleCounts(before: number[], requests: number): number[] {
   const random = new common.Random(7);
   const views = before.map((outstanding, index) =>
     viewOf(index, { outstanding }),
@@ -39,13 +39,13 @@
 // one beat to the ranks that were emptiest in the last one, and their queues overflow.
 test("entries that choose by the same old counts do not herd", (t) => {
   const before = Array.from({ length: 63 }, (_, index) => index % 5);
-  const after = sendBlindly(before, 60);
+  const after = sendOnStaleCounts(before, 60);
   t.true(Math.max(...after) <= SLOTS + 1);
 });
 
 test("fuller runners get less", (t) => {
   const before = Array.from({ length: 60 }, (_, index) => (index < 30 ? 1 : 5));
-  const after = sendBlindly(before, 600);
+  const after = sendOnStaleCounts(before, 600);
   const sent = (from: number, to: number) =>
     after
       .slice(from, to)
@@ -68,9 +68,9 @@
 test("a spared runner is drawn only if there is no other", (t) => {
   const random = new common.Random(1);
   const views = Array.from({ length: 12 }, (_, index) =>
-    viewOf(index, { spared: index !== 4, outstanding: index === 4 ? 9 : 0 }),
+    viewOf(index, { suspended: index !== 4, outstanding: index === 4 ? 9 : 0 }),
   );
   t.is(chooseRunner.chooseRunner(views, random)?.identifier, "i-4");
-  const spared = views.map((view) => ({ ...view, spared: true }));
-  t.truthy(chooseRunner.chooseRunner(spared, random));
+  const allSuspended = views.map((view) => ({ ...view, spared: true }));
+  t.truthy(chooseRunner.chooseRunner(allSuspended, random));
 });
--- a/packages/daemon/src/forwarding/event_splitter.ts
+++ b/packages/daemon/src/forwarding/event_splitter.ts
@@ -1,7 +1,7 @@
 /** Ends one event of a stream. */
 const EVENT_END = Buffer.from("\n\n");
 /** Field that numbers an event. */
-const IDENTIFIER_FIELD = "id:";
+const ID_FIELD = "id:";
 
 /** One whole event of a stream. */
 export interface StreamEvent {
@@ -16,17 +16,19 @@
  * is passed on ends with an event, so that another run can go on after it.
  */
 export class EventSplitter {
-  #rest: Buffer = Buffer.alloc(0);
+  #incomplete: Buffer = Buffer.alloc(0);
 
   /** Bytes of an event that has not ended. */
-  get unfinished(): number {
-    return this.#rest.length;
+  get pendingBytes(): number {
+    return this.#incomplete.length;
   }
 
   /** Takes bytes and gives the events that they complete. */
   push(bytes: Buffer): StreamEvent[] {
     let rest =
-      this.#rest.length > 0 ? Buffer.concat([this.#rest, bytes]) : bytes;
+      this.#incomplete.length > 0
+        ? Buffer.concat([this.#incomplete, bytes])
+        : bytes;
     const events: StreamEvent[] = [];
     for (;;) {
       const end = rest.indexOf(EVENT_END);
@@ -36,15 +38,15 @@
       events.push({ number: numberOf(event), bytes: event });
       rest = rest.subarray(length);
     }
-    this.#rest = rest;
+    this.#incomplete = rest;
     return events;
   }
 }
 
 function numberOf(event: Buffer): number | undefined {
   for (const line of event.toString("latin1").split("\n")) {
-    if (!line.startsWith(IDENTIFIER_FIELD)) continue;
-    const number = Number(line.slice(IDENTIFIER_FIELD.length).trim());
+    if (!line.startsWith(ID_FIELD)) continue;
+    const number = Number(line.slice(ID_FIELD.length).trim());
     return Number.isInteger(number) ? number : undefined;
   }
   return undefined;
--- a/packages/daemon/src/forwarding/forwarded_request.ts
+++ b/packages/daemon/src/forwarding/forwarded_request.ts
@@ -6,10 +6,10 @@
 import type * as quarantine from "../quarantine/quarantine.ts";
 import type * as watchedRequests from "../quarantine/watched_requests.ts";
 import * as answerRelay from "./answer_relay.ts";
-import * as attemptEnd from "./attempt_end.ts";
-import * as forwardRequest from "./forward_request.ts";
-import * as returnTime from "./return_time.ts";
-import type * as runnerBoard from "./runner_board.ts";
+import * as attemptOutcome from "./attempt_outcome.ts";
+import * as callerRequest from "./caller_request.ts";
+import * as retryDelay from "./retry_delay.ts";
+import type * as runnerTracker from "./runner_tracker.ts";
 import * as requestClock from "./request_clock.ts";
 import * as runnerAttempt from "./runner_attempt.ts";
 import type * as runnerCaller from "./runner_caller.ts";
@@ -19,27 +19,27 @@
  * spare, in milliseconds: a lost group is formed anew within it. A caller that is
  * refused then has mostly used up its one retry when it is back.
  */
-const LONGEST_WAIT_MILLISECONDS = 1_500;
+const MAX_WAIT_MILLISECONDS = 1_500;
 /** Part of the caller's patience that such a wait takes at most. */
-const LONGEST_WAIT_PART = 0.25;
+const MAX_WAIT_TIMEOUT_FRACTION = 0.25;
 /** How often a waiting request looks for a runner, in milliseconds. */
-const WAIT_LOOK_MILLISECONDS = 50;
+const WAIT_CHECK_INTERVAL_MILLISECONDS = 50;
 
 /** One request on its way. */
 export interface ForwardedRequestParameters {
-  request: forwardRequest.ForwardRequest;
-  sink: forwardRequest.AnswerSink;
+  request: callerRequest.CallerRequest;
+  sink: callerRequest.AnswerSink;
   route: traffic.Route;
   account: traffic.Account | undefined;
   /** Milliseconds that the caller has spent on earlier tries of its own. */
   spentBefore: number;
   service: string;
-  board: runnerBoard.RunnerBoard;
+  tracker: runnerTracker.RunnerTracker;
   caller: runnerCaller.RunnerCaller;
   budgetOf: (service: string) => retryBudget.RetryBudget;
   quarantine: quarantine.Quarantine;
   endWatch: endWatch.EndWatch;
-  onHeard: (runner: traffic.RunnerEntry) => void;
+  onAnswerStart: (runner: traffic.RunnerEntry) => void;
   random: common.Random;
   metrics: common.Metrics;
 }
@@ -51,17 +51,17 @@
   service: string;
   end: string;
   milliseconds: number;
-  attempts: attemptEnd.AttemptNote[];
+  attempts: attemptOutcome.AttemptSummary[];
   /** Name of the request by what it asks for, if it is in quarantine. */
   fingerprint: string | undefined;
 }
 
 /** Conducts one admitted request: chooses runners, repeats what may be repeated. */
 export class ForwardedRequest implements watchedRequests.WatchedRequest {
-  readonly #attempts: attemptEnd.AttemptNote[] = [];
+  readonly #attempts: attemptOutcome.AttemptSummary[] = [];
   readonly #tried = new Set<string>();
   /** Aborts with the end that this side gives an attempt under way. */
-  readonly #cut = new AbortController();
+  readonly #cancellation = new AbortController();
   readonly #relay: answerRelay.AnswerRelay;
   readonly #fingerprint: fingerprint.LazyFingerprint;
   /** Attempts that ran or may have. */
@@ -69,7 +69,7 @@
   readonly #clock: requestClock.RequestClock;
   #attempt: runnerAttempt.RunnerAttempt | undefined;
   /** Milliseconds from arrival to the first of an answer; -1 before it. */
-  #firstAfter = -1;
+  #firstAnswerMilliseconds = -1;
 
   constructor(readonly parameters: ForwardedRequestParameters) {
     const { route, request, account, sink } = parameters;
@@ -103,82 +103,90 @@
   stop(): void {
     const { repeatability } = this.parameters.route;
     if (repeatability !== traffic.Repeatability.Idempotent) return;
-    if (this.#firstAfter < 0) this.#cut.abort(attemptEnd.QUARANTINED);
+    if (this.#firstAnswerMilliseconds < 0)
+      this.#cancellation.abort(attemptOutcome.QUARANTINED);
   }
 
   /** Runs the request to its answer. */
   async run(): Promise<ForwardOutcome> {
     const { route, account, service, quarantine } = this.parameters;
     const timer = setTimeout(
-      () => this.#cut.abort(attemptEnd.TIMED_OUT),
+      () => this.#cancellation.abort(attemptOutcome.TIMED_OUT),
       Math.max(0, this.#clock.millisecondsLeft),
     );
     const unwatch = quarantine.watch(this);
-    let end: attemptEnd.AttemptEnd;
+    let outcome: attemptOutcome.AttemptOutcome;
     try {
-      end = await this.#attemptUntilEnd();
+      outcome = await this.#attemptUntilFinal();
     } finally {
       clearTimeout(timer);
       unwatch();
     }
-    this.#finish(end);
-    this.#measure(end);
-    const isHeld = end.kind === attemptEnd.AttemptKind.Quarantined;
+    this.#answerCaller(outcome);
+    this.#recordMetrics(outcome);
+    const isQuarantined =
+      outcome.kind === attemptOutcome.AttemptOutcomeKind.Quarantined;
     return {
       route: route.name,
       account: account?.name ?? "",
       service,
-      end: end.kind,
+      end: outcome.kind,
       milliseconds: Math.round(this.#clock.elapsed),
       attempts: this.#attempts,
-      fingerprint: isHeld ? this.fingerprint : undefined,
+      fingerprint: isQuarantined ? this.fingerprint : undefined,
     };
   }
 
-  #measure(end: attemptEnd.AttemptEnd): void {
+  #recordMetrics(finalOutcome: attemptOutcome.AttemptOutcome): void {
     const { metrics, service } = this.parameters;
-    const outcome = end.kind;
+    const outcome = finalOutcome.kind;
     metrics.count(common.Metric.Requests, { service, outcome });
     const repeats = this.#attempts.length - 1;
     if (repeats > 0) metrics.count(common.Metric.Retries, { service }, repeats);
-    if (this.#firstAfter >= 0) {
-      metrics.time(common.Metric.FirstToken, this.#firstAfter, { service });
+    if (this.#firstAnswerMilliseconds >= 0) {
+      metrics.time(common.Metric.FirstToken, this.#firstAnswerMilliseconds, {
+        service,
+      });
     }
   }
 
-  async #attemptUntilEnd(): Promise<attemptEnd.AttemptEnd> {
-    const { board, route, service, budgetOf, quarantine } = this.parameters;
+  async #attemptUntilFinal(): Promise<attemptOutcome.AttemptOutcome> {
+    const { tracker, route, service, budgetOf, quarantine } = this.parameters;
     const budget = budgetOf(service);
     budget.earn();
-    let last: attemptEnd.AttemptEnd | undefined;
+    let lastOutcome: attemptOutcome.AttemptOutcome | undefined;
     for (;;) {
-      const cut = this.#endOfCut();
-      if (cut) return cut;
-      if (quarantine.admit(this) > 0) return attemptEnd.QUARANTINED;
-      const runner = board.choose(service, this.#tried);
+      const cancelled = this.#cancelledOutcome();
+      if (cancelled) return cancelled;
+      if (quarantine.admit(this) > 0) return attemptOutcome.QUARANTINED;
+      const runner = tracker.choose(service, this.#tried);
       if (!runner) {
         if (await this.#waitForRunner()) continue;
         return (
-          last ?? { kind: attemptEnd.AttemptKind.NotRun, reason: "no runner" }
+          lastOutcome ?? {
+            kind: attemptOutcome.AttemptOutcomeKind.NotRun,
+            reason: "no runner",
+          }
         );
       }
-      if (last && !budget.spend()) return last;
+      if (lastOutcome && !budget.spend()) return lastOutcome;
       this.#tried.add(runner.identifier);
-      last = await this.#attemptAt(runner);
-      const explained = this.#explainBreak(last, runner);
-      if (!attemptEnd.mayRepeat(last, route, this.#runs)) return last;
-      await explained;
+      lastOutcome = await this.#attemptAt(runner);
+      const crashCheck = this.#checkForCrash(lastOutcome, runner);
+      if (!attemptOutcome.mayRetry(lastOutcome, route, this.#runs))
+        return lastOutcome;
+      await crashCheck;
     }
   }
 
   /** Finds out whether an attempt broke off as its runner ended. */
-  async #explainBreak(
-    end: attemptEnd.AttemptEnd,
+  async #checkForCrash(
+    outcome: attemptOutcome.AttemptOutcome,
     runner: traffic.RunnerEntry,
   ): Promise<void> {
-    const { request, endWatch, board } = this.parameters;
-    const silent = board.isSilent(runner.identifier);
-    if (!attemptEnd.brokeOff(end.kind, silent)) return;
+    const { request, endWatch, tracker } = this.parameters;
+    const runnerIsUnresponsive = tracker.isUnresponsive(runner.identifier);
+    if (!attemptOutcome.mayBeCrash(outcome.kind, runnerIsUnresponsive)) return;
     await endWatch.brokenOff(runner, {
       request: request.identifier,
       fingerprint: this.fingerprint,
@@ -191,45 +199,48 @@
    * nothing to wait for, or not for so long.
    */
   async #waitForRunner(): Promise<boolean> {
-    const { board, service, sink, request } = this.parameters;
-    if (!board.hasClosed(service) || this.#endOfCut()) return false;
-    const patience = request.patienceMilliseconds * LONGEST_WAIT_PART;
-    const longest = Math.min(LONGEST_WAIT_MILLISECONDS, patience);
-    if (this.#clock.elapsed > longest) return false;
+    const { tracker, service, sink, request } = this.parameters;
+    if (!tracker.hasRefusing(service) || this.#cancelledOutcome()) return false;
+    const callerShare = request.timeoutMilliseconds * MAX_WAIT_TIMEOUT_FRACTION;
+    const maxWaitMilliseconds = Math.min(MAX_WAIT_MILLISECONDS, callerShare);
+    if (this.#clock.elapsed > maxWaitMilliseconds) return false;
     this.#tried.clear();
-    await board.opened.next(WAIT_LOOK_MILLISECONDS, sink.left);
+    await tracker.availabilityChanged.next(
+      WAIT_CHECK_INTERVAL_MILLISECONDS,
+      sink.disconnected,
+    );
     return true;
   }
 
   async #attemptAt(
     runner: traffic.RunnerEntry,
-  ): Promise<attemptEnd.AttemptEnd> {
+  ): Promise<attemptOutcome.AttemptOutcome> {
     const attempt = new runnerAttempt.RunnerAttempt({
       ...this.parameters,
       runner,
       clock: this.#clock,
       relay: this.#relay,
-      cut: this.#cut.signal,
-      mayGiveUp: () => this.#mayGiveUp(),
-      onHeard: () => {
-        this.#noteAnswer();
-        this.parameters.onHeard(runner);
+      cancel: this.#cancellation.signal,
+      mayTryAnother: () => this.#mayTryAnother(),
+      onAnswerStart: () => {
+        this.#noteFirstAnswer();
+        this.parameters.onAnswerStart(runner);
       },
     });
     this.#attempt = attempt;
-    const end = await attempt.run();
+    const outcome = await attempt.run();
     const { quarantine } = this.parameters;
-    if (end.kind === attemptEnd.AttemptKind.Answered) {
+    if (outcome.kind === attemptOutcome.AttemptOutcomeKind.Answered) {
       quarantine.answered(this, runner.version);
     }
-    if (end.kind !== attemptEnd.AttemptKind.NotRun) this.#runs++;
+    if (outcome.kind !== attemptOutcome.AttemptOutcomeKind.NotRun) this.#runs++;
     this.#attempts.push({
       runner: runner.identifier,
-      end: end.kind,
-      reason: end.reason,
+      end: outcome.kind,
+      reason: outcome.reason,
       milliseconds: Math.round(common.now() - attempt.startedAt),
     });
-    return end;
+    return outcome;
   }
 
   /**
@@ -237,44 +248,49 @@
    * another, the request may be repeated, and the budget of repeats is not spent:
    * a wait that may still end well is better than a refusal.
    */
-  #mayGiveUp(): boolean {
-    const { route, board, service, budgetOf } = this.parameters;
+  #mayTryAnother(): boolean {
+    const { route, tracker, service, budgetOf } = this.parameters;
     if (route.repeatability !== traffic.Repeatability.Idempotent) return false;
     if (this.#runs + 1 >= route.mostAttempts) return false;
     if (budgetOf(service).balance < 1) return false;
-    const others = board.candidates(service, this.#tried);
-    return others.some(({ spared }) => !spared);
+    const others = tracker.candidates(service, this.#tried);
+    return others.some(({ suspended: spared }) => !spared);
   }
 
-  #endOfCut(): attemptEnd.AttemptEnd | undefined {
-    return attemptEnd.endOfCut(this.parameters.sink.left, this.#cut.signal);
+  #cancelledOutcome(): attemptOutcome.AttemptOutcome | undefined {
+    return attemptOutcome.cancelledOutcome(
+      this.parameters.sink.disconnected,
+      this.#cancellation.signal,
+    );
   }
 
   #noteEvent(): void {
-    this.#noteAnswer();
+    this.#noteFirstAnswer();
     this.#attempt?.noteProgress();
   }
 
-  #noteAnswer(): void {
-    if (this.#firstAfter < 0) this.#firstAfter = this.#clock.elapsed;
+  #noteFirstAnswer(): void {
+    if (this.#firstAnswerMilliseconds < 0)
+      this.#firstAnswerMilliseconds = this.#clock.elapsed;
   }
 
   /** Gives the caller the final answer. */
-  #finish(end: attemptEnd.AttemptEnd): void {
+  #answerCaller(outcome: attemptOutcome.AttemptOutcome): void {
     const { sink, random, quarantine } = this.parameters;
-    switch (end.kind) {
-      case attemptEnd.AttemptKind.Answered:
-      case attemptEnd.AttemptKind.Left:
+    switch (outcome.kind) {
+      case attemptOutcome.AttemptOutcomeKind.Answered:
+      case attemptOutcome.AttemptOutcomeKind.CallerDisconnected:
         return;
       default:
         break;
     }
-    if (this.#relay.begun) return sink.breakOff();
-    if (end.failure) return sink.answer(end.failure.head, end.failure.body);
-    const kind = attemptEnd.refusalKind(end, this.#runs);
+    if (this.#relay.begun) return sink.abort();
+    if (outcome.failure)
+      return sink.answer(outcome.failure.head, outcome.failure.body);
+    const kind = attemptOutcome.refusalKind(outcome, this.#runs);
     const retryAfterMilliseconds =
       quarantine.heldMilliseconds(this) ||
-      returnTime.returnTime(this.#clock.millisecondsLeft, random);
-    sink.refuse({ kind, reason: end.reason, retryAfterMilliseconds });
+      retryDelay.retryDelayMilliseconds(this.#clock.millisecondsLeft, random);
+    sink.refuse({ kind, reason: outcome.reason, retryAfterMilliseconds });
   }
 }
--- a/packages/daemon/src/forwarding/forwarder.ts
+++ b/packages/daemon/src/forwarding/forwarder.ts
@@ -4,10 +4,10 @@
 import type * as endWatch from "../quarantine/end_watch.ts";
 import type * as quarantine from "../quarantine/quarantine.ts";
 import * as admitRequest from "./admit_request.ts";
-import * as forwardRequest from "./forward_request.ts";
+import * as callerRequest from "./caller_request.ts";
 import * as forwardedRequest from "./forwarded_request.ts";
-import * as patienceRecord from "./patience_record.ts";
-import type * as runnerBoard from "./runner_board.ts";
+import * as timeoutHistory from "./timeout_history.ts";
+import type * as runnerTracker from "./runner_tracker.ts";
 import type * as runnerCaller from "./runner_caller.ts";
 
 /** What passing requests on needs. */
@@ -16,14 +16,14 @@
   /** Milliseconds for which a newer configuration may have gone unseen. */
   proofAge: () => number;
   /** Age of the configuration's proof up to which keyed requests are run. */
-  longestProofAge: number;
-  board: runnerBoard.RunnerBoard;
+  maxProofAgeMilliseconds: number;
+  tracker: runnerTracker.RunnerTracker;
   caller: runnerCaller.RunnerCaller;
   budgetOf: (service: string) => retryBudget.RetryBudget;
   quarantine: quarantine.Quarantine;
   endWatch: endWatch.EndWatch;
   /** Told of each answer that a runner begins. */
-  onHeard: (runner: traffic.RunnerEntry) => void;
+  onAnswerStart: (runner: traffic.RunnerEntry) => void;
   random: common.Random;
   logger: common.Logger;
   metrics: common.Metrics;
@@ -33,7 +33,7 @@
 export class Forwarder {
   #view: traffic.TrafficView | undefined;
   #underWay = 0;
-  readonly #patience = new patienceRecord.PatienceRecord();
+  readonly #timeoutHistory = new timeoutHistory.TimeoutHistory();
 
   constructor(readonly parameters: ForwarderParameters) {}
 
@@ -44,8 +44,8 @@
 
   /** Handles one request until it is answered or its caller has left. */
   async forward(
-    request: forwardRequest.ForwardRequest,
-    sink: forwardRequest.AnswerSink,
+    request: callerRequest.CallerRequest,
+    sink: callerRequest.AnswerSink,
   ): Promise<void> {
     this.#underWay++;
     try {
@@ -56,17 +56,17 @@
   }
 
   async #forward(
-    request: forwardRequest.ForwardRequest,
-    sink: forwardRequest.AnswerSink,
+    request: callerRequest.CallerRequest,
+    sink: callerRequest.AnswerSink,
   ): Promise<void> {
-    const { configuration, longestProofAge, logger } = this.parameters;
+    const { configuration, maxProofAgeMilliseconds, logger } = this.parameters;
     const view = this.#currentView();
     const proofAge = this.parameters.proofAge();
     const admitted = admitRequest.admitRequest({
       request,
       view,
       proofAge,
-      longestProofAge,
+      maxProofAgeMilliseconds,
     });
     const facts = {
       request: request.identifier,
@@ -83,21 +83,21 @@
       }
       case "admitted": {
         const { route, account } = admitted;
-        const spentBefore = this.#patience.spentBefore({
+        const spentBefore = this.#timeoutHistory.spentBefore({
           route: route.name,
           account: account?.name ?? "",
-          patienceMilliseconds: request.patienceMilliseconds,
+          timeoutMilliseconds: request.timeoutMilliseconds,
         });
-        const one = new forwardedRequest.ForwardedRequest({
+        const forwarded = new forwardedRequest.ForwardedRequest({
           ...this.parameters,
           request,
           sink,
           route,
           account,
           spentBefore,
-          service: this.#pickService(route),
+          service: this.#chooseService(route),
         });
-        const outcome = await one.run();
+        const outcome = await forwarded.run();
         logger.event(common.EventCode.Forwarded, {
           ...facts,
           spentBefore: Math.round(spentBefore),
@@ -116,13 +116,13 @@
   }
 
   /** One of the route's services, each as often as its weight says. */
-  #pickService(route: traffic.Route): string {
+  #chooseService(route: traffic.Route): string {
     const { shares } = route;
     const total = shares.reduce((sum, { weight }) => sum + weight, 0);
-    let left = this.parameters.random.between(0, total);
+    let remainingWeight = this.parameters.random.between(0, total);
     for (const { service, weight } of shares) {
-      left -= weight;
-      if (left < 0) return service;
+      remainingWeight -= weight;
+      if (remainingWeight < 0) return service;
     }
     return shares[0].service;
   }
--- a/packages/daemon/src/forwarding/forwarder_test.ts
+++ b/packages/daemon/src/forwarding/forwarder_test.ts
@@ -6,9 +6,9 @@
 import * as retryBudget from "../dispatch/retry_budget.ts";
 import * as endWatch from "../quarantine/end_watch.ts";
 import * as quarantineFixture from "../quarantine/quarantine_fixture.ts";
-import * as forwardRequest from "./forward_request.ts";
+import * as callerRequest from "./caller_request.ts";
 import * as forwarderModule from "./forwarder.ts";
-import * as runnerBoard from "./runner_board.ts";
+import * as runnerTracker from "./runner_tracker.ts";
 import * as runnerCaller from "./runner_caller.ts";
 
 const test = ava.default;
@@ -23,33 +23,33 @@
 >;
 
 /** What the caller of a request saw. */
-interface Seen {
+interface CallerView {
   text: string;
   status: number;
   ended: "whole" | "broken" | "refused" | "";
-  refusal: forwardRequest.Refusal | undefined;
+  refusal: callerRequest.Refusal | undefined;
 }
 
-interface Scene {
+interface Setup {
   answerForm?: traffic.AnswerForm;
   repeatability?: traffic.Repeatability;
   proofAge?: number;
   key?: string;
-  repeats?: number;
+  retries?: number;
   timeoutMilliseconds?: number;
 }
 
-function routeOf(scene: Scene): traffic.Route {
+function routeOf(setup: Setup): traffic.Route {
   return {
     name: "r",
     host: "h",
     prefix: "/a/",
-    repeatability: scene.repeatability ?? traffic.Repeatability.Idempotent,
-    answerForm: scene.answerForm ?? traffic.AnswerForm.Whole,
+    repeatability: setup.repeatability ?? traffic.Repeatability.Idempotent,
+    answerForm: setup.answerForm ?? traffic.AnswerForm.Whole,
     open: false,
     shares: [{ service: "s", weight: 1 }],
     mostAttempts: 2,
-    timeoutMilliseconds: scene.timeoutMilliseconds ?? 5_000,
+    timeoutMilliseconds: setup.timeoutMilliseconds ?? 5_000,
     objectiveMilliseconds: 400,
     gapMilliseconds: 120,
     urgency: 1,
@@ -57,12 +57,12 @@
 }
 
 function configurationOf(
-  scene: Scene,
+  setup: Setup,
 ): traffic.ProvenValue<traffic.TrafficConfiguration> {
-  const held = new traffic.ProvenValue<traffic.TrafficConfiguration>();
-  held.offer({
+  const configuration = new traffic.ProvenValue<traffic.TrafficConfiguration>();
+  configuration.offer({
     version: 1,
-    routes: [routeOf(scene)],
+    routes: [routeOf(setup)],
     services: [{ name: "s", engine: undefined }],
     accounts: [{ name: "a", keys: [KEY], urgency: undefined }],
     limits: {
@@ -73,14 +73,14 @@
     },
   });
   const { monotonic, wall } = common.instant();
-  const age = scene.proofAge ?? 0;
-  held.prove(1, { monotonic: monotonic - age, wall: wall - age });
-  return held;
+  const age = setup.proofAge ?? 0;
+  configuration.prove(1, { monotonic: monotonic - age, wall: wall - age });
+  return configuration;
 }
 
-function boardOfTwo(): runnerBoard.RunnerBoard {
+function trackerOfTwo(): runnerTracker.RunnerTracker {
   const random = new common.Random(1);
-  const board = new runnerBoard.RunnerBoard({
+  const tracker = new runnerTracker.RunnerTracker({
     dataCentre: "d",
     random,
     inLockStep: () => false,
@@ -88,25 +88,25 @@
   const runners = ["i-1", "i-2"].map((identifier, index) =>
     runnerFixture.createRunner({ identifier, port: index + 1 }),
   );
-  board.update({ version: 1, runners });
-  return board;
+  tracker.update({ version: 1, runners });
+  return tracker;
 }
 
 /** Sends one request past runners that answer by the scripts, in order. */
 async function send(
-  scene: Scene,
+  setup: Setup,
   scripts: Script[],
-): Promise<{ seen: Seen; calls: runnerCaller.RunnerCall[] }> {
+): Promise<{ seen: CallerView; calls: runnerCaller.RunnerCall[] }> {
   const calls: runnerCaller.RunnerCall[] = [];
-  const board = boardOfTwo();
+  const tracker = trackerOfTwo();
   const presenceOf = async () => common.Presence.Listening;
   const logger = new common.RecordingLogger();
-  const configuration = configurationOf(scene);
+  const configuration = configurationOf(setup);
   const forwarder = new forwarderModule.Forwarder({
     configuration,
     proofAge: () => configuration.age,
-    longestProofAge: 4_000,
-    board,
+    maxProofAgeMilliseconds: 4_000,
+    tracker,
     caller: {
       presenceOf,
       call: (call) => {
@@ -118,22 +118,27 @@
     quarantine: quarantineFixture.createQuarantine(),
     endWatch: new endWatch.EndWatch({
       presenceOf,
-      inUse: (runner) => board.inUse(runner),
+      inUse: (runner) => tracker.inUse(runner),
       endOf: () => undefined,
       onEnd: () => {},
     }),
-    onHeard: () => {},
+    onAnswerStart: () => {},
     random: new common.Random(2),
     logger,
     metrics: common.discardMetrics(),
   });
-  const repeats = scene.repeats ?? 5;
+  const retries = setup.retries ?? 5;
   const budget = new retryBudget.RetryBudget({
     earnedPerRequest: 0,
-    largestBalance: repeats,
-    initialBalance: repeats,
+    largestBalance: retries,
+    initialBalance: retries,
   });
-  const seen: Seen = { text: "", status: 0, ended: "", refusal: undefined };
+  const seen: CallerView = {
+    text: "",
+    status: 0,
+    ended: "",
+    refusal: undefined,
+  };
   await forwarder.forward(
     {
       identifier: "q",
@@ -143,19 +148,19 @@
       host: "h",
       headers: [],
       body: Buffer.alloc(0),
-      key: scene.key ?? KEY,
-      patienceMilliseconds: 4_000,
+      key: setup.key ?? KEY,
+      timeoutMilliseconds: 4_000,
       resumeAfter: "",
       arrivedAt: common.instant(),
     },
-    sinkInto(seen),
+    recordingSink(seen),
   );
   return { seen, calls };
 }
 
-function sinkInto(seen: Seen): forwardRequest.AnswerSink {
+function recordingSink(seen: CallerView): callerRequest.AnswerSink {
   return {
-    left: new AbortController().signal,
+    disconnected: new AbortController().signal,
     answer: (head, body) => {
       seen.status = head.status;
       seen.text += body.toString();
@@ -166,7 +171,7 @@
       seen.text += piece.toString();
     },
     end: () => (seen.ended = "whole"),
-    breakOff: () => (seen.ended = "broken"),
+    abort: () => (seen.ended = "broken"),
     refuse: (refusal) => {
       seen.refusal = refusal;
       seen.ended = "refused";
@@ -176,11 +181,11 @@
 
 function answers(
   pieces: string[],
-  options: { breaks?: boolean; status?: number; signed?: boolean } = {},
+  options: { truncated?: boolean; status?: number; signed?: boolean } = {},
 ): Script {
   async function* body(): AsyncGenerator<Buffer, void, void> {
     for (const piece of pieces) yield Buffer.from(piece);
-    if (options.breaks) throw new runnerCaller.BrokenAnswer("reset");
+    if (options.truncated) throw new runnerCaller.TruncatedBody("reset");
   }
   const status = options.status ?? 200;
   const verdict =
@@ -198,12 +203,12 @@
     });
 }
 
-function fails(kind: runnerCaller.CallFailureKind): Script {
+function failsWith(kind: runnerCaller.CallFailureKind): Script {
   return async () => neverthrow.err({ kind, reason: "reset" });
 }
 
 /** Says nothing until the call is ended. */
-function silent(): Script {
+function neverAnswers(): Script {
   return (call) =>
     new Promise((resolve) => {
       call.signal.addEventListener("abort", () => {
@@ -228,16 +233,16 @@
 // told that it may have run.
 test("a request that runs at most once is not repeated in doubt", async (t) => {
   const { seen, calls } = await send(ONCE, [
-    fails(runnerCaller.CallFailureKind.Unknown),
+    failsWith(runnerCaller.CallFailureKind.Unknown),
   ]);
   t.is(calls.length, 1);
-  t.is(seen.refusal?.kind, forwardRequest.RefusalKind.MayHaveRun);
+  t.is(seen.refusal?.kind, callerRequest.RefusalKind.MayHaveRun);
 });
 
 test("a request that certainly did not run goes to another runner", async (t) => {
   for (const first of [
     answers([], { status: 503 }),
-    fails(runnerCaller.CallFailureKind.NotSent),
+    failsWith(runnerCaller.CallFailureKind.NotSent),
   ]) {
     const { seen, calls } = await send(ONCE, [first, answers(["done"])]);
     t.not(calls[0].runner.identifier, calls[1].runner.identifier);
@@ -249,25 +254,25 @@
 test("not run is said only if no attempt may have run", async (t) => {
   const refused = answers([], { status: 503 });
   const both = await send(ONCE, Array<Script>(50).fill(refused));
-  t.is(both.seen.refusal?.kind, forwardRequest.RefusalKind.NotRun);
+  t.is(both.seen.refusal?.kind, callerRequest.RefusalKind.NotRun);
   t.true((both.seen.refusal?.retryAfterMilliseconds ?? 0) > 0);
   const doubt = await send({}, [
-    fails(runnerCaller.CallFailureKind.Unknown),
+    failsWith(runnerCaller.CallFailureKind.Unknown),
     ...Array<Script>(50).fill(refused),
   ]);
-  t.is(doubt.seen.refusal?.kind, forwardRequest.RefusalKind.MayHaveRun);
+  t.is(doubt.seen.refusal?.kind, callerRequest.RefusalKind.MayHaveRun);
 });
 
 // When much fails at once, repeats would multiply the load that made it fail.
 test("without budget nothing is repeated", async (t) => {
-  const scene = { repeats: 0 };
-  const { calls } = await send(scene, [answers([], { status: 503 })]);
+  const setup = { retries: 0 };
+  const { calls } = await send(setup, [answers([], { status: 503 })]);
   t.is(calls.length, 1);
 });
 
 test("a success that is not signed is not passed on", async (t) => {
   const { seen } = await send(ONCE, [answers(["x"], { signed: false })]);
-  t.is(seen.refusal?.kind, forwardRequest.RefusalKind.MayHaveRun);
+  t.is(seen.refusal?.kind, callerRequest.RefusalKind.MayHaveRun);
   t.is(seen.text, "");
 });
 
@@ -281,7 +286,7 @@
 // its third event; the second goes on after the second event.
 test("a stream that breaks goes on elsewhere after its last event", async (t) => {
   const { seen, calls } = await send(EVENTS, [
-    answers([event(1), event(2), "id: 3\nda"], { breaks: true }),
+    answers([event(1), event(2), "id: 3\nda"], { truncated: true }),
     answers([event(3), event(4)]),
   ]);
   t.is(calls[1].resumeAfter, "2");
@@ -293,7 +298,7 @@
 // piece missing, which looks complete. It is broken off, and can be asked again.
 test("a stream with a gap is broken off", async (t) => {
   const { seen } = await send(EVENTS, [
-    answers([event(1), event(2)], { breaks: true }),
+    answers([event(1), event(2)], { truncated: true }),
     answers([event(4)]),
   ]);
   t.is(seen.text, [1, 2].map(event).join(""));
@@ -303,15 +308,18 @@
 // A rank of a group was lost: all its ranks say nothing for a second or two. The
 // caller has its first event from another group within its patience.
 test("a stream at a runner that stands still moves to another", async (t) => {
-  const { seen, calls } = await send(EVENTS, [silent(), answers([event(1)])]);
+  const { seen, calls } = await send(EVENTS, [
+    neverAnswers(),
+    answers([event(1)]),
+  ]);
   t.is(calls.length, 2);
   t.is(seen.text, event(1));
 });
 
 test("an answer that does not come is ended at the route's time-out", async (t) => {
-  const scene = { ...ONCE, timeoutMilliseconds: 100 };
-  const { seen } = await send(scene, [silent()]);
-  t.is(seen.refusal?.kind, forwardRequest.RefusalKind.TimedOut);
+  const setup = { ...ONCE, timeoutMilliseconds: 100 };
+  const { seen } = await send(setup, [neverAnswers()]);
+  t.is(seen.refusal?.kind, callerRequest.RefusalKind.TimedOut);
 });
 
 // A key that was taken away would still work at an entry that is cut off. Past
@@ -321,13 +329,13 @@
   for (const key of [KEY, "other"]) {
     const { seen, calls } = await send({ proofAge: 4_500, key }, []);
     t.is(calls.length, 0);
-    t.is(seen.refusal?.kind, forwardRequest.RefusalKind.NotRun);
+    t.is(seen.refusal?.kind, callerRequest.RefusalKind.NotRun);
   }
 });
 
 test("an unknown key is refused by an entry that is up to date", async (t) => {
   const { seen } = await send({ key: "other" }, []);
-  t.is(seen.refusal?.kind, forwardRequest.RefusalKind.UnknownKey);
+  t.is(seen.refusal?.kind, callerRequest.RefusalKind.UnknownKey);
 });
 
 // After a power loss all runners turn requests away while their groups are formed
@@ -336,7 +344,7 @@
 test("a request waits for a service that is being formed anew", async (t) => {
   const refused = answers([], { status: 503 });
   const scripts = [...Array<Script>(4).fill(refused), answers(["back"])];
-  const { seen, calls } = await send({ repeats: 10 }, scripts);
+  const { seen, calls } = await send({ retries: 10 }, scripts);
   t.is(seen.text, "back");
   t.is(calls.length, 5);
 });
@@ -345,8 +353,8 @@
   const refused = answers([], { status: 503 });
   const scripts = Array<Script>(50).fill(refused);
   const startedAt = common.now();
-  const { seen, calls } = await send({ repeats: 50 }, scripts);
-  t.is(seen.refusal?.kind, forwardRequest.RefusalKind.NotRun);
+  const { seen, calls } = await send({ retries: 50 }, scripts);
+  t.is(seen.refusal?.kind, callerRequest.RefusalKind.NotRun);
   t.true(common.now() - startedAt < 2_000);
   t.true(calls.length < 20);
 });
@@ -356,11 +364,11 @@
 test("time that runs out before any run is told as not run", async (t) => {
   const refused = answers([], { status: 503 });
   const scripts = Array<Script>(50).fill(refused);
-  const scene = {
-    repeats: 50,
+  const setup = {
+    retries: 50,
     timeoutMilliseconds: 300,
     repeatability: traffic.Repeatability.AtMostOnce,
   };
-  const { seen } = await send(scene, scripts);
-  t.is(seen.refusal?.kind, forwardRequest.RefusalKind.NotRun);
+  const { seen } = await send(setup, scripts);
+  t.is(seen.refusal?.kind, callerRequest.RefusalKind.NotRun);
 });
--- a/packages/daemon/src/forwarding/outstanding_elsewhere.ts
+++ b/packages/daemon/src/forwarding/outstanding_elsewhere.ts
@@ -8,7 +8,10 @@
   readonly #sums = new Map<string, number>();
 
   /** Takes the counts of an entry, by runner; `undefined` when it is gone. */
-  set(host: string, counts: ReadonlyMap<string, number> | undefined): void {
+  setCountsOf(
+    host: string,
+    counts: ReadonlyMap<string, number> | undefined,
+  ): void {
     for (const [runner, count] of this.#byHost.get(host) ?? []) {
       this.#add(runner, -count);
     }
@@ -19,12 +22,12 @@
   }
 
   /** Requests at a runner, from all other entries together. */
-  at(runner: string): number {
+  countAt(runner: string): number {
     return this.#sums.get(runner) ?? 0;
   }
 
   #add(runner: string, count: number): void {
-    const sum = this.at(runner) + count;
+    const sum = this.countAt(runner) + count;
     if (sum === 0) this.#sums.delete(runner);
     else this.#sums.set(runner, sum);
   }
--- a/packages/daemon/src/forwarding/outstanding_elsewhere_test.ts
+++ b/packages/daemon/src/forwarding/outstanding_elsewhere_test.ts
@@ -9,26 +9,26 @@
 test("sums stay what all entries told last", (t) => {
   const random = new common.Random(7);
   const elsewhere = new outstandingElsewhere.OutstandingElsewhere();
-  const told = new Map<string, Map<string, number>>();
+  const reported = new Map<string, Map<string, number>>();
   for (let round = 0; round < 500; round++) {
     const host = `entry-${random.below(20)}`;
-    const gone = random.fraction() < 0.1;
+    const departed = random.fraction() < 0.1;
     const counts = new Map(
       Array.from({ length: random.below(5) }, () => [
         `runner-${random.below(30)}`,
         1 + random.below(3),
       ]),
     );
-    elsewhere.set(host, gone ? undefined : counts);
-    if (gone) told.delete(host);
-    else told.set(host, counts);
+    elsewhere.setCountsOf(host, departed ? undefined : counts);
+    if (departed) reported.delete(host);
+    else reported.set(host, counts);
   }
   for (let runner = 0; runner < 30; runner++) {
     const name = `runner-${runner}`;
-    const sum = [...told.values()].reduce(
+    const sum = [...reported.values()].reduce(
       (total, counts) => total + (counts.get(name) ?? 0),
       0,
     );
-    t.is(elsewhere.at(name), sum);
+    t.is(elsewhere.countAt(name), sum);
   }
 });
--- a/packages/daemon/src/forwarding/request_clock.ts
+++ b/packages/daemon/src/forwarding/request_clock.ts
@@ -1,11 +1,11 @@
 import * as common from "@geraniumkeel/common";
 import type * as traffic from "@geraniumkeel/traffic";
-import type * as forwardRequest from "./forward_request.ts";
+import type * as callerRequest from "./caller_request.ts";
 
 /** How long a request has been here, and how long it may be. */
 export class RequestClock {
   constructor(
-    readonly request: forwardRequest.ForwardRequest,
+    readonly request: callerRequest.CallerRequest,
     readonly route: traffic.Route,
   ) {}
 
@@ -16,7 +16,7 @@
 
   /** Time until the caller gives up or the route's time-out, whichever is first. */
   get millisecondsLeft(): number {
-    const patience = this.request.patienceMilliseconds || Infinity;
-    return Math.min(patience, this.route.timeoutMilliseconds) - this.elapsed;
+    const timeout = this.request.timeoutMilliseconds || Infinity;
+    return Math.min(timeout, this.route.timeoutMilliseconds) - this.elapsed;
   }
 }
--- a/packages/daemon/src/forwarding/return_time.ts
+++ b/packages/daemon/src/forwarding/retry_delay.ts
@@ -8,16 +8,16 @@
  * is late whenever it comes, so waiting longer costs them nothing. Spread over a
  * range, so that the rush is not repeated as one.
  */
-const EARLIEST_PART = 0.2;
-const LATEST_PART = 0.32;
+const MIN_DELAY_FRACTION = 0.2;
+const MAX_DELAY_FRACTION = 0.32;
 /** Shortest time that is told, in milliseconds. */
-const SHORTEST_MILLISECONDS = 250;
+const MIN_DELAY_MILLISECONDS = 250;
 
 /** When a caller that is refused for want of a runner is to come back. */
-export function returnTime(
+export function retryDelayMilliseconds(
   millisecondsLeft: number,
   random: common.Random,
 ): number {
-  const part = random.between(EARLIEST_PART, LATEST_PART);
-  return Math.max(SHORTEST_MILLISECONDS, millisecondsLeft * part);
+  const fraction = random.between(MIN_DELAY_FRACTION, MAX_DELAY_FRACTION);
+  return Math.max(MIN_DELAY_MILLISECONDS, millisecondsLeft * fraction);
 }
--- a/packages/daemon/src/forwarding/return_time_test.ts
+++ b/packages/daemon/src/forwarding/retry_delay_test.ts
@@ -1,6 +1,6 @@
 import * as ava from "ava";
 import * as common from "@geraniumkeel/common";
-import * as returnTime from "./return_time.ts";
+import * as retryDelay from "./retry_delay.ts";
 
 const test = ava.default;
 
@@ -9,15 +9,15 @@
 // once, and while they still have time.
 test("callers refused by a lost group come back when it is there again", (t) => {
   const random = new common.Random(1);
-  const times = Array.from({ length: 100 }, () =>
-    returnTime.returnTime(7_900, random),
+  const delays = Array.from({ length: 100 }, () =>
+    retryDelay.retryDelayMilliseconds(7_900, random),
   );
-  t.true(Math.min(...times) >= 1_500);
-  t.true(Math.max(...times) <= 7_900 / 3);
-  t.true(Math.max(...times) - Math.min(...times) > 700);
+  t.true(Math.min(...delays) >= 1_500);
+  t.true(Math.max(...delays) <= 7_900 / 3);
+  t.true(Math.max(...delays) - Math.min(...delays) > 700);
 });
 
 test("a caller with little time left is told a short time", (t) => {
   const random = new common.Random(1);
-  t.is(returnTime.returnTime(300, random), 250);
+  t.is(retryDelay.retryDelayMilliseconds(300, random), 250);
 });
--- a/packages/daemon/src/forwarding/runner_attempt.ts
+++ b/packages/daemon/src/forwarding/runner_attempt.ts
@@ -1,90 +1,91 @@
 import * as common from "@geraniumkeel/common";
 import * as traffic from "@geraniumkeel/traffic";
 import * as answerRelay from "./answer_relay.ts";
-import * as attemptEnd from "./attempt_end.ts";
-import type * as forwardRequest from "./forward_request.ts";
+import * as attemptOutcome from "./attempt_outcome.ts";
+import type * as callerRequest from "./caller_request.ts";
 import type * as requestClock from "./request_clock.ts";
-import type * as runnerBoard from "./runner_board.ts";
+import type * as runnerTracker from "./runner_tracker.ts";
 import * as runnerCaller from "./runner_caller.ts";
 import * as urgencyAtRunner from "./urgency_at_runner.ts";
 
 /** How often it is looked whether an attempt gets on, in milliseconds. */
-const LOOK_MILLISECONDS = 150;
+const STALL_CHECK_INTERVAL_MILLISECONDS = 150;
 /**
  * How many times its objective an idempotent request waits for a whole answer
  * before another runner is tried: nine in ten answers come within a third of it.
  */
-const PATIENCE_OBJECTIVES = 1.5;
+const MAX_WAIT_OBJECTIVES = 1.5;
 
 /** One attempt at one runner. */
 export interface RunnerAttemptParameters {
   runner: traffic.RunnerEntry;
-  request: forwardRequest.ForwardRequest;
-  sink: forwardRequest.AnswerSink;
+  request: callerRequest.CallerRequest;
+  sink: callerRequest.AnswerSink;
   route: traffic.Route;
   account: traffic.Account | undefined;
   clock: requestClock.RequestClock;
   /** Milliseconds that the caller has spent on earlier tries of its own. */
   spentBefore: number;
-  board: runnerBoard.RunnerBoard;
+  tracker: runnerTracker.RunnerTracker;
   caller: runnerCaller.RunnerCaller;
   relay: answerRelay.AnswerRelay;
   /** Aborts with the end that the request gives its attempt. */
-  cut: AbortSignal;
+  cancel: AbortSignal;
   /** Whether another runner may be tried in place of waiting on. */
-  mayGiveUp: () => boolean;
+  mayTryAnother: () => boolean;
   /** Told of each answer that a runner begins. */
-  onHeard: (runner: traffic.RunnerEntry) => void;
+  onAnswerStart: (runner: traffic.RunnerEntry) => void;
 }
 
 /** Calls one runner and passes its answer on. */
 export class RunnerAttempt {
   readonly startedAt = common.now();
-  readonly #stalled = new AbortController();
+  readonly #stallCancel = new AbortController();
   /** When it last got on. */
   #progressAt = this.startedAt;
 
   constructor(readonly parameters: RunnerAttemptParameters) {}
 
   /** Runs to the end of the attempt. */
-  async run(): Promise<attemptEnd.AttemptEnd> {
-    const { board, runner } = this.parameters;
-    const noteEnd = board.begin(runner.identifier);
-    const watch = setInterval(() => {
-      if (this.#isLate() && this.parameters.mayGiveUp()) this.#stalled.abort();
-    }, LOOK_MILLISECONDS);
-    const end = await this.#callRunner();
-    clearInterval(watch);
-    noteEnd(attemptEnd.soundnessOf(end.kind));
-    return end;
+  async run(): Promise<attemptOutcome.AttemptOutcome> {
+    const { tracker, runner } = this.parameters;
+    const finishCall = tracker.startCall(runner.identifier);
+    const stallCheck = setInterval(() => {
+      if (this.#hasStalled() && this.parameters.mayTryAnother())
+        this.#stallCancel.abort();
+    }, STALL_CHECK_INTERVAL_MILLISECONDS);
+    const outcome = await this.#callRunner();
+    clearInterval(stallCheck);
+    finishCall(attemptOutcome.callOutcomeOf(outcome.kind));
+    return outcome;
   }
 
   /** Something of the answer has come. */
   noteProgress(): void {
-    const { board, runner } = this.parameters;
+    const { tracker, runner } = this.parameters;
     this.#progressAt = common.now();
-    board.progress(runner.identifier);
+    tracker.noteProgress(runner.identifier);
   }
 
-  #isLate(): boolean {
-    const { route, board, runner } = this.parameters;
-    const silence = common.now() - this.#progressAt;
+  #hasStalled(): boolean {
+    const { route, tracker, runner } = this.parameters;
+    const waited = common.now() - this.#progressAt;
     switch (route.answerForm) {
       case traffic.AnswerForm.Whole:
-        return silence > route.objectiveMilliseconds * PATIENCE_OBJECTIVES;
+        return waited > route.objectiveMilliseconds * MAX_WAIT_OBJECTIVES;
       case traffic.AnswerForm.Events:
         // Waiting its turn at a runner that gets on is no stall.
-        return board.stalled(runner.identifier);
+        return tracker.isStalled(runner.identifier);
     }
   }
 
-  async #callRunner(): Promise<attemptEnd.AttemptEnd> {
+  async #callRunner(): Promise<attemptOutcome.AttemptOutcome> {
     const { request, runner, sink, route, account } = this.parameters;
-    const { caller, relay, clock, cut, spentBefore } = this.parameters;
+    const { caller, relay, clock, cancel, spentBefore } = this.parameters;
     const answer = await caller.call({
       request,
       runner,
-      patienceMilliseconds: clock.millisecondsLeft,
+      millisecondsLeft: clock.millisecondsLeft,
       account: account?.name ?? "",
       urgency: urgencyAtRunner.urgencyAtRunner({
         urgency: account?.urgency ?? route.urgency,
@@ -92,84 +93,100 @@
         objectiveMilliseconds: route.objectiveMilliseconds,
       }),
       resumeAfter: relay.resumeAfter,
-      signal: AbortSignal.any([sink.left, cut, this.#stalled.signal]),
+      signal: AbortSignal.any([
+        sink.disconnected,
+        cancel,
+        this.#stallCancel.signal,
+      ]),
     });
     return answer.isErr()
-      ? this.#endOfFailure(answer.error)
-      : this.#takeAnswer(answer.value);
+      ? this.#outcomeOfFailure(answer.error)
+      : this.#handleAnswer(answer.value);
   }
 
-  async #takeAnswer(
+  async #handleAnswer(
     answer: runnerCaller.RunnerAnswer,
-  ): Promise<attemptEnd.AttemptEnd> {
-    const { board, runner, onHeard } = this.parameters;
+  ): Promise<attemptOutcome.AttemptOutcome> {
+    const { tracker, runner, onAnswerStart } = this.parameters;
     const { verdict, head, signed, body } = answer;
     const reason = `status ${head.status}`;
     switch (verdict) {
       case runnerCaller.Verdict.WrongRunner:
-        board.drop(runner);
+        tracker.removeReplaced(runner);
         return {
-          kind: attemptEnd.AttemptKind.NotRun,
+          kind: attemptOutcome.AttemptOutcomeKind.NotRun,
           reason: "another runner there",
         };
       case runnerCaller.Verdict.NotRun:
-        board.turnedAway(runner.identifier);
-        return { kind: attemptEnd.AttemptKind.NotRun, reason };
+        tracker.noteRefusal(runner.identifier);
+        return { kind: attemptOutcome.AttemptOutcomeKind.NotRun, reason };
       case runnerCaller.Verdict.Failed: {
-        const whole = await answerRelay.readWhole(body);
-        if (whole.isErr())
-          return { kind: attemptEnd.AttemptKind.Unknown, reason };
-        const failure = { head, body: whole.value };
-        return { kind: attemptEnd.AttemptKind.Failed, reason, failure };
+        const completeBody = await answerRelay.readCompleteBody(body);
+        if (completeBody.isErr())
+          return { kind: attemptOutcome.AttemptOutcomeKind.Unknown, reason };
+        const failure = { head, body: completeBody.value };
+        return {
+          kind: attemptOutcome.AttemptOutcomeKind.Failed,
+          reason,
+          failure,
+        };
       }
       case runnerCaller.Verdict.Ran:
         if (!signed) {
           return {
-            kind: attemptEnd.AttemptKind.Unknown,
+            kind: attemptOutcome.AttemptOutcomeKind.Unknown,
             reason: "answer not signed",
           };
         }
         this.noteProgress();
-        onHeard(runner);
+        onAnswerStart(runner);
         return this.#relayAnswer(answer);
     }
   }
 
   async #relayAnswer(
     answer: runnerCaller.RunnerAnswer,
-  ): Promise<attemptEnd.AttemptEnd> {
+  ): Promise<attemptOutcome.AttemptOutcome> {
     const { relay } = this.parameters;
     const relayed = await relay.relay(answer);
     if (relayed.isOk()) {
-      return { kind: attemptEnd.AttemptKind.Answered, reason: "" };
+      return { kind: attemptOutcome.AttemptOutcomeKind.Answered, reason: "" };
     }
-    const cut = this.#endOfCut();
-    if (cut) return cut;
+    const cancelled = this.#cancelledOutcome();
+    if (cancelled) return cancelled;
     const kind = relay.begun
-      ? attemptEnd.AttemptKind.Broken
-      : attemptEnd.AttemptKind.Unknown;
+      ? attemptOutcome.AttemptOutcomeKind.Truncated
+      : attemptOutcome.AttemptOutcomeKind.Unknown;
     return { kind, reason: relayed.error };
   }
 
-  #endOfFailure(failure: runnerCaller.CallFailure): attemptEnd.AttemptEnd {
-    const { board, runner } = this.parameters;
+  #outcomeOfFailure(
+    failure: runnerCaller.CallFailure,
+  ): attemptOutcome.AttemptOutcome {
+    const { tracker, runner } = this.parameters;
     const { reason } = failure;
     switch (failure.kind) {
       case runnerCaller.CallFailureKind.NotSent:
-        board.spare(runner.identifier);
-        return { kind: attemptEnd.AttemptKind.NotRun, reason };
+        tracker.suspend(runner.identifier);
+        return { kind: attemptOutcome.AttemptOutcomeKind.NotRun, reason };
       case runnerCaller.CallFailureKind.Unknown: {
-        const kind = attemptEnd.AttemptKind.Unknown;
-        return this.#endOfCut() ?? { kind, reason };
+        const kind = attemptOutcome.AttemptOutcomeKind.Unknown;
+        return this.#cancelledOutcome() ?? { kind, reason };
       }
     }
   }
 
   /** Why this side ended the call, if it did. */
-  #endOfCut(): attemptEnd.AttemptEnd | undefined {
-    const { sink, cut } = this.parameters;
-    const ended = attemptEnd.endOfCut(sink.left, cut);
-    if (ended || !this.#stalled.signal.aborted) return ended;
-    return { kind: attemptEnd.AttemptKind.Stalled, reason: "did not get on" };
+  #cancelledOutcome(): attemptOutcome.AttemptOutcome | undefined {
+    const { sink, cancel } = this.parameters;
+    const cancelled = attemptOutcome.cancelledOutcome(
+      sink.disconnected,
+      cancel,
+    );
+    if (cancelled || !this.#stallCancel.signal.aborted) return cancelled;
+    return {
+      kind: attemptOutcome.AttemptOutcomeKind.Stalled,
+      reason: "did not get on",
+    };
   }
 }
--- a/packages/daemon/src/forwarding/runner_caller.ts
+++ b/packages/daemon/src/forwarding/runner_caller.ts
@@ -1,14 +1,14 @@
 import type * as common from "@geraniumkeel/common";
 import type * as neverthrow from "neverthrow";
 import type * as traffic from "@geraniumkeel/traffic";
-import type * as forwardRequest from "./forward_request.ts";
+import type * as callerRequest from "./caller_request.ts";
 
 /** What is told to a runner beside the caller's own request. */
 export interface RunnerCall {
-  request: forwardRequest.ForwardRequest;
+  request: callerRequest.CallerRequest;
   runner: traffic.RunnerEntry;
   /** Time left for the request. */
-  patienceMilliseconds: number;
+  millisecondsLeft: number;
   /** Account of the caller; empty if the request needed no key. */
   account: string;
   urgency: number;
@@ -33,7 +33,7 @@
 /** A runner's answer, its body still to come. */
 export interface RunnerAnswer {
   verdict: Verdict;
-  head: forwardRequest.AnswerHead;
+  head: callerRequest.AnswerHead;
   /** Whether the answer's origin is proved, so that it counts as a success. */
   signed: boolean;
   /**
@@ -44,7 +44,7 @@
 }
 
 /** A body that ended before its end. */
-export class BrokenAnswer extends Error {}
+export class TruncatedBody extends Error {}
 
 /** Whether a call that failed may have run. */
 export enum CallFailureKind {
--- a/packages/daemon/src/forwarding/runner_board.ts
+++ b/packages/daemon/src/forwarding/runner_tracker.ts
@@ -1,27 +1,27 @@
 import * as common from "@geraniumkeel/common";
 import * as traffic from "@geraniumkeel/traffic";
 import * as chooseRunner from "./choose_runner.ts";
-import * as leftLives from "./left_lives.ts";
+import * as departedIncarnations from "./departed_incarnations.ts";
 import * as outstandingElsewhere from "./outstanding_elsewhere.ts";
 
 /** How a call went, as far as it tells of the runner. */
-export enum CallEnd {
-  Good = "good",
+export enum CallOutcome {
+  Success = "good",
   /** It had no room, or the caller left: nothing is wrong with it. */
   Neutral = "neutral",
   /** It failed, broke off or was slow beyond reason. */
-  Bad = "bad",
+  Failure = "bad",
 }
 
 /**
  * Weight of the newest answer in a runner's share of failures. A runner that
  * fails two in five is seen after four or five answers.
  */
-const NEWEST_WEIGHT = 0.2;
+const NEWEST_ANSWER_WEIGHT = 0.2;
 /** How long a runner without an answer is spared, in milliseconds. */
-const SPARED_MILLISECONDS = 700;
+const SUSPENSION_MILLISECONDS = 700;
 /** Time in which the share of failures halves without answers. */
-const FORGIVENESS_MILLISECONDS = 2_000;
+const FAILURE_HALF_LIFE_MILLISECONDS = 2_000;
 
 /**
  * Silence of a runner with requests under way after which it counts as stalled.
@@ -29,20 +29,20 @@
  * pass some request there gets its next event; when one rank is lost all stand
  * still and say nothing for one to two seconds.
  */
-const STALLED_MILLISECONDS = 600;
+const STALL_TIMEOUT_MILLISECONDS = 600;
 
 /**
  * Time for which a runner that turned a request away, although it had room, gets
  * none, in milliseconds. Its group has lost a rank and is being formed anew, for
  * half a second and more, and turns away whatever it is sent.
  */
-const CLOSED_MILLISECONDS = 250;
+const REFUSAL_PAUSE_MILLISECONDS = 250;
 /**
  * Time between two requests sent to see whether a service takes work again while
  * all its runners are closed. Each that is turned away counts against the repeats
  * allowed; an entry sends ten a second, whatever number of requests wait.
  */
-const PROBE_MILLISECONDS = 100;
+const PROBE_INTERVAL_MILLISECONDS = 100;
 
 /** What is known of one runner. */
 class RunnerRecord {
@@ -50,40 +50,41 @@
   /** When anything was last heard of a request there, or the first one was sent. */
   progressAt = 0;
   /** When anything was last heard of a request there. */
-  heardAt = -Infinity;
+  lastReceivedAt = -Infinity;
   failureShare = 0;
-  failureSeenAt = 0;
-  sparedUntil = 0;
+  failureShareUpdatedAt = 0;
+  suspendedUntil = 0;
   /** It turned a request away with room to spare, and took none since. */
-  closed = false;
-  closedUntil = 0;
+  refusing = false;
+  avoidUntil = 0;
 
   constructor(public entry: traffic.RunnerEntry) {}
 
   /** Whether requests are under way and none of them gets on. */
-  stalled(now: number): boolean {
-    return this.own > 0 && now - this.progressAt > STALLED_MILLISECONDS;
+  isStalled(now: number): boolean {
+    return this.own > 0 && now - this.progressAt > STALL_TIMEOUT_MILLISECONDS;
   }
 
   /** Whether it is to get no new work for the moment. */
-  isSpared(now: number): boolean {
-    return this.sparedUntil > now || this.stalled(now);
+  isSuspended(now: number): boolean {
+    return this.suspendedUntil > now || this.isStalled(now);
   }
 
   /** Whether nothing was heard from it for as long as a stall takes to show. */
-  isSilent(now: number): boolean {
-    return now - this.heardAt > STALLED_MILLISECONDS;
+  isUnresponsive(now: number): boolean {
+    return now - this.lastReceivedAt > STALL_TIMEOUT_MILLISECONDS;
   }
 
   /** Part of its answers that failed; forgotten by and by. */
   currentFailureShare(now: number): number {
-    const halvings = (now - this.failureSeenAt) / FORGIVENESS_MILLISECONDS;
+    const halvings =
+      (now - this.failureShareUpdatedAt) / FAILURE_HALF_LIFE_MILLISECONDS;
     return this.failureShare * 0.5 ** halvings;
   }
 }
 
 /** One runner, as operators see it. */
-export interface BoardRunner {
+export interface TrackedRunner {
   identifier: string;
   service: string;
   dataCentre: string;
@@ -98,16 +99,16 @@
 }
 
 /** All runners that take requests, with the load and soundness of each. */
-export class RunnerBoard {
+export class RunnerTracker {
   readonly #records = new Map<string, RunnerRecord>();
   /** Listed runners that are gone from their addresses, each life of them. */
-  #disproved = new Set<string>();
-  readonly #left = new leftLives.LeftLives();
-  readonly #others = new outstandingElsewhere.OutstandingElsewhere();
+  #replacedIncarnations = new Set<string>();
+  readonly #departed = new departedIncarnations.DepartedIncarnations();
+  readonly #otherEntries = new outstandingElsewhere.OutstandingElsewhere();
   /** When the next request may be sent to a service that is closed. */
   readonly #nextProbeAt = new Map<string, number>();
   /** Announces that some runner may take work that did not before. */
-  readonly opened = new common.ChangeNotice();
+  readonly availabilityChanged = new common.ChangeNotice();
 
   constructor(
     readonly parameters: {
@@ -121,10 +122,10 @@
   /** Takes a new list; runners that are not in it get nothing more. */
   update(list: traffic.RunnerList): void {
     const listed = new Set<string>();
-    const disproved = new Set<string>();
-    for (const entry of this.#left.apply(list.runners)) {
-      if (this.#disproved.has(traffic.lifeOf(entry))) {
-        disproved.add(traffic.lifeOf(entry));
+    const stillListed = new Set<string>();
+    for (const entry of this.#departed.apply(list.runners)) {
+      if (this.#replacedIncarnations.has(traffic.lifeOf(entry))) {
+        stillListed.add(traffic.lifeOf(entry));
         continue;
       }
       listed.add(entry.identifier);
@@ -133,16 +134,16 @@
       if (record?.entry.bornAt === entry.bornAt) record.entry = entry;
       else this.#records.set(entry.identifier, new RunnerRecord(entry));
     }
-    this.#disproved = disproved;
-    this.opened.announce();
+    this.#replacedIncarnations = stillListed;
+    this.availabilityChanged.announce();
     for (const identifier of this.#records.keys()) {
       if (!listed.has(identifier)) this.#records.delete(identifier);
     }
   }
 
   /** Takes the counts of another entry; `undefined` when it is gone. */
-  setOthers(host: string, counts: Map<string, number> | undefined): void {
-    this.#others.set(host, counts);
+  setCountsOf(host: string, counts: Map<string, number> | undefined): void {
+    this.#otherEntries.setCountsOf(host, counts);
   }
 
   /** Requests under way from this entry, by runner; only runners with any. */
@@ -160,20 +161,22 @@
     tried: ReadonlySet<string>,
   ): chooseRunner.RunnerView[] {
     const now = common.now();
-    const inDoubt = this.#standsStill(service, now);
+    const groupStalled = this.#isGroupStalled(service, now);
     const views: chooseRunner.RunnerView[] = [];
     for (const [identifier, record] of this.#records) {
       const { entry } = record;
       if (entry.service !== service || entry.leaving) continue;
       if (tried.has(identifier)) continue;
-      if (record.closed && now < record.closedUntil) continue;
+      if (record.refusing && now < record.avoidUntil) continue;
       views.push({
         identifier,
-        outstanding: record.own + this.#others.at(identifier),
+        outstanding: record.own + this.#otherEntries.countAt(identifier),
         slots: entry.slots,
         sameDataCentre: entry.dataCentre === this.parameters.dataCentre,
         failureShare: record.currentFailureShare(now),
-        spared: record.isSpared(now) || (inDoubt && record.isSilent(now)),
+        suspended:
+          record.isSuspended(now) ||
+          (groupStalled && record.isUnresponsive(now)),
       });
     }
     return views;
@@ -185,10 +188,11 @@
    * the way out: when a group stood still for 0.9 s, streams were given up at all its
    * runners and went to the one whose host was frozen, where they were never answered.
    */
-  #standsStill(service: string, now: number): boolean {
+  #isGroupStalled(service: string, now: number): boolean {
     if (!this.parameters.inLockStep(service)) return false;
     for (const record of this.#records.values()) {
-      if (record.entry.service === service && record.stalled(now)) return true;
+      if (record.entry.service === service && record.isStalled(now))
+        return true;
     }
     return false;
   }
@@ -202,7 +206,7 @@
     const chosen = chooseRunner.chooseRunner(views, this.parameters.random);
     const record = chosen && this.#records.get(chosen.identifier);
     if (!record) return undefined;
-    if (record.closed && !this.#mayProbe(record)) return undefined;
+    if (record.refusing && !this.#startProbe(record)) return undefined;
     return record.entry;
   }
 
@@ -225,54 +229,54 @@
   }
 
   /** Whether some runner of a service turns away what it has room for. */
-  hasClosed(service: string): boolean {
-    for (const { entry, closed } of this.#records.values()) {
+  hasRefusing(service: string): boolean {
+    for (const { entry, refusing: closed } of this.#records.values()) {
       if (closed && entry.service === service && !entry.leaving) return true;
     }
     return false;
   }
 
   /** A runner turned a request away. */
-  turnedAway(identifier: string): void {
+  noteRefusal(identifier: string): void {
     const record = this.#records.get(identifier);
     if (!record) return;
-    const load = record.own + this.#others.at(identifier);
+    const load = record.own + this.#otherEntries.countAt(identifier);
     if (load > record.entry.slots) return;
-    record.closed = true;
-    record.closedUntil = common.now() + CLOSED_MILLISECONDS;
+    record.refusing = true;
+    record.avoidUntil = common.now() + REFUSAL_PAUSE_MILLISECONDS;
   }
 
   /** One request is sent to see whether a closed runner takes work again. */
-  #mayProbe(record: RunnerRecord): boolean {
+  #startProbe(record: RunnerRecord): boolean {
     const now = common.now();
     const { service } = record.entry;
     if (now < (this.#nextProbeAt.get(service) ?? 0)) return false;
-    this.#nextProbeAt.set(service, now + PROBE_MILLISECONDS);
-    record.closedUntil = now + CLOSED_MILLISECONDS;
+    this.#nextProbeAt.set(service, now + PROBE_INTERVAL_MILLISECONDS);
+    record.avoidUntil = now + REFUSAL_PAUSE_MILLISECONDS;
     return true;
   }
 
   /** Notes a call to a runner; the returned function notes its end. */
-  begin(identifier: string): (end: CallEnd) => void {
+  startCall(identifier: string): (outcome: CallOutcome) => void {
     const record = this.#records.get(identifier);
     if (!record) return () => {};
     if (record.own === 0) record.progressAt = common.now();
     record.own++;
-    return (end) => {
+    return (outcome) => {
       record.own--;
-      this.#note(record, end);
+      this.#recordOutcome(record, outcome);
     };
   }
 
   /** Something was heard of a request at a runner. */
-  progress(identifier: string): void {
+  noteProgress(identifier: string): void {
     const record = this.#records.get(identifier);
     if (!record) return;
     record.progressAt = common.now();
-    record.heardAt = record.progressAt;
-    if (!record.closed) return;
-    this.#reopen(record);
-    this.opened.announce();
+    record.lastReceivedAt = record.progressAt;
+    if (!record.refusing) return;
+    this.#endRefusal(record);
+    this.availabilityChanged.announce();
   }
 
   /**
@@ -282,37 +286,37 @@
    * another second while the backlog of an outage waited. One of another group that is
    * not formed yet turns the next request away, and is closed again.
    */
-  #reopen(reopened: RunnerRecord): void {
-    const { service } = reopened.entry;
-    reopened.closed = false;
+  #endRefusal(accepting: RunnerRecord): void {
+    const { service } = accepting.entry;
+    accepting.refusing = false;
     if (!this.parameters.inLockStep(service)) return;
     for (const record of this.#records.values()) {
-      if (record.entry.service === service) record.closed = false;
+      if (record.entry.service === service) record.refusing = false;
     }
   }
 
   /** Whether requests are under way at a runner and none of them gets on. */
-  stalled(identifier: string): boolean {
-    return this.#records.get(identifier)?.stalled(common.now()) ?? false;
+  isStalled(identifier: string): boolean {
+    return this.#records.get(identifier)?.isStalled(common.now()) ?? false;
   }
 
   /** Whether nothing has come from a runner lately. */
-  isSilent(identifier: string): boolean {
-    return this.#records.get(identifier)?.isSilent(common.now()) ?? true;
+  isUnresponsive(identifier: string): boolean {
+    return this.#records.get(identifier)?.isUnresponsive(common.now()) ?? true;
   }
 
   /** A runner at which nothing progresses gets no new work for a while. */
-  spare(identifier: string): void {
+  suspend(identifier: string): void {
     const record = this.#records.get(identifier);
-    if (record) record.sparedUntil = common.now() + SPARED_MILLISECONDS;
+    if (record) record.suspendedUntil = common.now() + SUSPENSION_MILLISECONDS;
   }
 
   /**
    * Another runner answers at the address of this one. It may stay listed for
    * seconds, and gets no more for as long.
    */
-  drop(runner: traffic.RunnerEntry): void {
-    this.#disproved.add(traffic.lifeOf(runner));
+  removeReplaced(runner: traffic.RunnerEntry): void {
+    this.#replacedIncarnations.add(traffic.lifeOf(runner));
     const record = this.#records.get(runner.identifier);
     if (record && traffic.lifeOf(record.entry) === traffic.lifeOf(runner)) {
       this.#records.delete(runner.identifier);
@@ -320,7 +324,7 @@
   }
 
   /** All runners, for operators. */
-  runners(): BoardRunner[] {
+  runners(): TrackedRunner[] {
     const now = common.now();
     return [...this.#records].map(([identifier, record]) => ({
       identifier,
@@ -328,18 +332,19 @@
       dataCentre: record.entry.dataCentre,
       leaving: record.entry.leaving,
       own: record.own,
-      outstanding: record.own + this.#others.at(identifier),
+      outstanding: record.own + this.#otherEntries.countAt(identifier),
       failureShare: record.currentFailureShare(now),
-      spared: record.isSpared(now),
+      spared: record.isSuspended(now),
     }));
   }
 
-  #note(record: RunnerRecord, end: CallEnd): void {
-    if (end === CallEnd.Neutral) return;
+  #recordOutcome(record: RunnerRecord, outcome: CallOutcome): void {
+    if (outcome === CallOutcome.Neutral) return;
     const now = common.now();
-    const failed = end === CallEnd.Bad ? 1 : 0;
-    const before = record.currentFailureShare(now);
-    record.failureShare = before + NEWEST_WEIGHT * (failed - before);
-    record.failureSeenAt = now;
+    const failed = outcome === CallOutcome.Failure ? 1 : 0;
+    const previousShare = record.currentFailureShare(now);
+    record.failureShare =
+      previousShare + NEWEST_ANSWER_WEIGHT * (failed - previousShare);
+    record.failureShareUpdatedAt = now;
   }
 }
--- a/packages/daemon/src/forwarding/patience_record.ts
+++ b/packages/daemon/src/forwarding/timeout_history.ts
@@ -7,7 +7,7 @@
  */
 const WINDOW_MILLISECONDS = 30_000;
 /** Routes and accounts remembered at most: 20 bytes of key each, a megabyte. */
-const MOST_KEYS = 20_000;
+const MAX_KEYS = 20_000;
 
 /**
  * How long the callers of each account wait on each route. A caller that comes back
@@ -15,32 +15,36 @@
  * shorter by the time it has spent: that tells how old its wish is. For the seconds
  * after an outage, when those that come back and those that come first meet.
  */
-export class PatienceRecord {
-  #longest = new Map<string, number>();
-  #longestBefore = new Map<string, number>();
-  #beganAt = common.now();
+export class TimeoutHistory {
+  #longestTimeouts = new Map<string, number>();
+  #previousLongestTimeouts = new Map<string, number>();
+  #windowStartedAt = common.now();
 
   /** Time in milliseconds that a caller has spent before it came here. */
   spentBefore(parameters: {
     route: string;
     account: string;
-    patienceMilliseconds: number;
+    timeoutMilliseconds: number;
   }): number {
-    const { route, account, patienceMilliseconds: patience } = parameters;
+    const { route, account, timeoutMilliseconds } = parameters;
     this.#rotate();
     const key = `${route} ${account}`;
-    const known = this.#longest.get(key) ?? 0;
-    if (patience > known) this.#longest.set(key, patience);
-    const usual = Math.max(known, this.#longestBefore.get(key) ?? 0);
-    return Math.max(0, usual - patience);
+    const longest = this.#longestTimeouts.get(key) ?? 0;
+    if (timeoutMilliseconds > longest)
+      this.#longestTimeouts.set(key, timeoutMilliseconds);
+    const usualTimeout = Math.max(
+      longest,
+      this.#previousLongestTimeouts.get(key) ?? 0,
+    );
+    return Math.max(0, usualTimeout - timeoutMilliseconds);
   }
 
   #rotate(): void {
     const now = common.now();
-    const full = this.#longest.size >= MOST_KEYS;
-    if (!full && now - this.#beganAt < WINDOW_MILLISECONDS) return;
-    this.#longestBefore = this.#longest;
-    this.#longest = new Map();
-    this.#beganAt = now;
+    const full = this.#longestTimeouts.size >= MAX_KEYS;
+    if (!full && now - this.#windowStartedAt < WINDOW_MILLISECONDS) return;
+    this.#previousLongestTimeouts = this.#longestTimeouts;
+    this.#longestTimeouts = new Map();
+    this.#windowStartedAt = now;
   }
 }
--- a/packages/daemon/src/forwarding/urgency_at_runner.ts
+++ b/packages/daemon/src/forwarding/urgency_at_runner.ts
@@ -1,12 +1,12 @@
 /** How much less urgent a request is that will be late whatever happens. */
 const LATE_DEMOTION = 3;
 /** Least urgent that a runner knows. */
-const LEAST_URGENT = 9;
+const LOWEST_URGENCY = 9;
 /**
  * Part of its objective that a request may have spent here and still be in time:
  * the rest is what an answer's first event takes at a runner with room.
  */
-const STILL_IN_TIME = 0.6;
+const MAX_ELAPSED_FRACTION = 0.6;
 
 /**
  * The urgency that a runner is told. After an outage a second's worth of requests
@@ -20,6 +20,7 @@
   objectiveMilliseconds: number;
 }): number {
   const { urgency, elapsedMilliseconds, objectiveMilliseconds } = parameters;
-  const late = elapsedMilliseconds > objectiveMilliseconds * STILL_IN_TIME;
-  return Math.min(LEAST_URGENT, late ? urgency + LATE_DEMOTION : urgency);
+  const late =
+    elapsedMilliseconds > objectiveMilliseconds * MAX_ELAPSED_FRACTION;
+  return Math.min(LOWEST_URGENCY, late ? urgency + LATE_DEMOTION : urgency);
 }
--- a/packages/daemon/src/forwarding_mod.ts
+++ b/packages/daemon/src/forwarding_mod.ts
@@ -4,9 +4,9 @@
  * daemon's own interface, in a third of the time.
  */
 export * from "./dispatch/retry_budget.ts";
-export * from "./forwarding/forward_request.ts";
+export * from "./forwarding/caller_request.ts";
 export * from "./forwarding/forwarder.ts";
-export * from "./forwarding/runner_board.ts";
+export * from "./forwarding/runner_tracker.ts";
 export * from "./forwarding/runner_caller.ts";
 export * from "./gateway/gateway.ts";
 export * from "./quarantine/broken_run.ts";
--- a/packages/daemon/src/gateway/epoch_confirmation.ts
+++ b/packages/daemon/src/gateway/epoch_confirmation.ts
@@ -2,17 +2,17 @@
 import type * as memberRows from "../mesh/member_rows.ts";
 
 /** How often a process looks whether something speaks for the configuration. */
-const LOOK_MILLISECONDS = 50;
+const TRUST_CHECK_INTERVAL_MILLISECONDS = 50;
 /** How often the table is asked whether its epoch is confirmed. */
-const ASK_MILLISECONDS = 500;
+const TABLE_READ_INTERVAL_MILLISECONDS = 500;
 /**
  * Time after which a process that started takes the table at its word: operators have
  * written again by then what it lost, and whoever knows more has told.
  */
-const LONGEST_DOUBT_MILLISECONDS = 3_000;
+const MAX_DOUBT_MILLISECONDS = 3_000;
 
 /** A reading of the configuration. */
-export interface ReadConfiguration {
+export interface ConfigurationReading {
   /** Epoch of the table in which it was read. */
   epoch: number;
   version: number;
@@ -22,13 +22,13 @@
 export interface EpochConfirmationParameters {
   rows: memberRows.MemberRows;
   /** Version that is held here; 0 for none. */
-  heldVersion: () => number;
+  currentVersion: () => number;
   /** The latest reading; `undefined` before the first. */
-  latestReading: () => ReadConfiguration | undefined;
+  latestReading: () => ConfigurationReading | undefined;
   /** Lowest version at an entry that takes requests; `undefined` if none is heard. */
-  servedVersion: () => number | undefined;
+  lowestServedVersion: () => number | undefined;
   /** Whether it is for this process to confirm. */
-  isOwner: () => boolean;
+  isConfirmer: () => boolean;
   logger: common.Logger;
 }
 
@@ -51,13 +51,13 @@
 
   /** Waits until the table can be trusted, and confirms each epoch after it. */
   async run(signal: AbortSignal): Promise<void> {
-    let askedAt = common.now();
-    while (!signal.aborted && !this.#speaksForTable()) {
-      if (common.now() - askedAt >= ASK_MILLISECONDS) {
-        askedAt = common.now();
+    let readAt = common.now();
+    while (!signal.aborted && !this.#mayTrustTable()) {
+      if (common.now() - readAt >= TABLE_READ_INTERVAL_MILLISECONDS) {
+        readAt = common.now();
         await this.parameters.rows.read();
       }
-      await common.sleep(LOOK_MILLISECONDS, signal);
+      await common.sleep(TRUST_CHECK_INTERVAL_MILLISECONDS, signal);
     }
     this.#trusted = true;
     while (!signal.aborted) {
@@ -65,22 +65,23 @@
         const { rows } = this.parameters;
         await rows.confirmEpoch(rows.epoch.number);
       }
-      await common.sleep(ASK_MILLISECONDS, signal);
+      await common.sleep(TABLE_READ_INTERVAL_MILLISECONDS, signal);
     }
   }
 
-  #speaksForTable(): boolean {
-    const { rows, heldVersion, servedVersion, latestReading } = this.parameters;
+  #mayTrustTable(): boolean {
+    const { rows, currentVersion, lowestServedVersion, latestReading } =
+      this.parameters;
     if (rows.confirmedEpoch >= rows.epoch.number) return true;
-    const served = servedVersion();
-    if (served !== undefined && heldVersion() >= served) return true;
+    const served = lowestServedVersion();
+    if (served !== undefined && currentVersion() >= served) return true;
     const version = latestReading()?.version;
     if (version === undefined) return false;
     this.#firstReading ??= { version, at: common.now() };
     // Written by the operator since this process looked first.
     if (version !== this.#firstReading.version) return true;
-    const doubted = common.now() - this.#firstReading.at;
-    if (doubted < LONGEST_DOUBT_MILLISECONDS) return false;
+    const doubtedMilliseconds = common.now() - this.#firstReading.at;
+    if (doubtedMilliseconds < MAX_DOUBT_MILLISECONDS) return false;
     const code = common.EventCode.TableEpochDoubtful;
     const { number: epoch } = rows.epoch;
     this.parameters.logger.event(code, { epoch, version });
@@ -88,11 +89,12 @@
   }
 
   #mayConfirm(): boolean {
-    const { rows, latestReading, heldVersion, isOwner } = this.parameters;
+    const { rows, latestReading, currentVersion, isConfirmer } =
+      this.parameters;
     const { number } = rows.epoch;
     if (number === 0 || rows.confirmedEpoch === number) return false;
     const read = latestReading();
-    if (read?.epoch !== number || read.version < heldVersion()) return false;
-    return isOwner();
+    if (read?.epoch !== number || read.version < currentVersion()) return false;
+    return isConfirmer();
   }
 }
--- a/packages/daemon/src/gateway/gateway.ts
+++ b/packages/daemon/src/gateway/gateway.ts
@@ -5,7 +5,7 @@
 import type * as wire from "@geraniumkeel/wire";
 import * as retryBudget from "../dispatch/retry_budget.ts";
 import * as forwarderModule from "../forwarding/forwarder.ts";
-import * as runnerBoard from "../forwarding/runner_board.ts";
+import * as runnerTracker from "../forwarding/runner_tracker.ts";
 import type * as runnerCaller from "../forwarding/runner_caller.ts";
 import * as entryMesh from "../mesh/entry_mesh.ts";
 import * as memberRows from "../mesh/member_rows.ts";
@@ -20,28 +20,28 @@
  * which a configuration without proof is not relied on. The rest covers a request
  * that waits after it was let through, and its way.
  */
-const RELIED_ON_SHARE = 0.8;
+const MAX_PROOF_AGE_FRACTION = 0.8;
 /** Entries that ask the store; one more than needed, as one may die. */
-const FOLLOWERS = 2;
+const STORE_POLLERS = 2;
 /**
  * Age of a proof at which an entry that is no follower asks the store itself, in
  * milliseconds: longer than a look takes, and staggered so that not all ask.
  */
-const FALL_BACK_MILLISECONDS = 1_400;
-const FALL_BACK_STAGGER_MILLISECONDS = 250;
+const FALLBACK_AGE_MILLISECONDS = 1_400;
+const FALLBACK_STAGGER_MILLISECONDS = 250;
 /** Part of the allowed repeats that is used; the rest covers unequal load. */
-const USED_RETRY_SHARE = 0.7;
+const USED_RETRY_FRACTION = 0.7;
 /** Entries that the allowance is shared among at least. */
-const FEWEST_ENTRIES = 6;
+const MIN_ENTRIES = 6;
 /** Time for which callers see that this entry leaves, in milliseconds. */
-const LEAVE_MILLISECONDS = 3_300;
+const MIN_DRAIN_MILLISECONDS = 3_300;
 /** Time before the process is killed at which it ends by itself. */
-const STOP_SLACK_MILLISECONDS = 700;
+const STOP_MARGIN_MILLISECONDS = 700;
 /** How often a stopping process looks whether all is answered. */
-const STOP_LOOK_MILLISECONDS = 50;
+const DRAIN_CHECK_INTERVAL_MILLISECONDS = 50;
 
 /** How often the board is compared with the list, if no change is announced. */
-const BOARD_LOOK_MILLISECONDS = 1_000;
+const CHANGE_CHECK_INTERVAL_MILLISECONDS = 1_000;
 
 /** What a gateway needs. */
 export interface GatewayParameters {
@@ -71,7 +71,7 @@
   readonly configuration =
     new traffic.ProvenValue<traffic.TrafficConfiguration>();
   readonly runners = new traffic.ProvenValue<traffic.RunnerList>();
-  readonly board: runnerBoard.RunnerBoard;
+  readonly runnerTracker: runnerTracker.RunnerTracker;
   readonly forwarder: forwarderModule.Forwarder;
   readonly mesh: entryMesh.EntryMesh;
   readonly quarantine: quarantine.Quarantine;
@@ -80,17 +80,18 @@
   readonly #rows: quarantineRows.QuarantineRows;
   readonly #confirmation: epochConfirmation.EpochConfirmation;
   /** The latest reading of the configuration from the store. */
-  #latestReading: epochConfirmation.ReadConfiguration | undefined;
+  #latestReading: epochConfirmation.ConfigurationReading | undefined;
   readonly #budgets = new Map<string, retryBudget.RetryBudget>();
-  readonly #longestProofAge: number;
+  readonly #maxProofAgeMilliseconds: number;
   #storeReachable = true;
   #stopping = false;
 
   constructor(readonly parameters: GatewayParameters) {
     const { self, random, logger, metrics, caller } = parameters;
-    this.#longestProofAge = parameters.revocationMilliseconds * RELIED_ON_SHARE;
+    this.#maxProofAgeMilliseconds =
+      parameters.revocationMilliseconds * MAX_PROOF_AGE_FRACTION;
     const { dataCentre } = self;
-    this.board = new runnerBoard.RunnerBoard({
+    this.runnerTracker = new runnerTracker.RunnerTracker({
       dataCentre,
       random,
       inLockStep: (service) => this.#inLockStep(service),
@@ -99,7 +100,7 @@
     this.quarantine = new quarantine.Quarantine({
       host: self.host,
       entries: () => this.mesh.readyMembers().map(({ host }) => host),
-      versionsOf: (service) => this.board.versionsOf(service),
+      versionsOf: (service) => this.runnerTracker.versionsOf(service),
       tell: (message, except) => this.mesh.tell(message, except),
       relays: false,
       onEndTold: (life, endedAt) => this.endWatch.toldEnd(life, endedAt),
@@ -109,7 +110,7 @@
     });
     this.endWatch = new endWatch.EndWatch({
       presenceOf: (runner) => caller.presenceOf(runner),
-      inUse: (runner) => this.board.inUse(runner),
+      inUse: (runner) => this.runnerTracker.inUse(runner),
       endOf: (life) => this.quarantine.endOf(life),
       onEnd: (end) => this.quarantine.runnerEnded(end),
     });
@@ -123,13 +124,13 @@
     this.forwarder = new forwarderModule.Forwarder({
       configuration: this.configuration,
       proofAge: () => this.#proofAge,
-      longestProofAge: this.#longestProofAge,
-      board: this.board,
+      maxProofAgeMilliseconds: this.#maxProofAgeMilliseconds,
+      tracker: this.runnerTracker,
       caller,
       budgetOf: (service) => this.#budgetOf(service),
       quarantine: this.quarantine,
       endWatch: this.endWatch,
-      onHeard: (runner) => this.endReview.heard(runner),
+      onAnswerStart: (runner) => this.endReview.heard(runner),
       random,
       logger,
       metrics,
@@ -144,8 +145,9 @@
       runners: this.runners,
       ready: () => this.ready,
       storeReachable: () => this.#storeReachable,
-      outstanding: () => this.board.ownCounts(),
-      onOutstanding: (host, counts) => this.board.setOthers(host, counts),
+      outstanding: () => this.runnerTracker.ownCounts(),
+      onOutstanding: (host, counts) =>
+        this.runnerTracker.setCountsOf(host, counts),
       suspicions: {
         take: (message, host) => this.quarantine.take(message, host),
         everything: () => this.quarantine.everything(),
@@ -156,10 +158,10 @@
     });
     this.#confirmation = new epochConfirmation.EpochConfirmation({
       rows,
-      heldVersion: () => this.configuration.version,
+      currentVersion: () => this.configuration.version,
       latestReading: () => this.#latestReading,
-      servedVersion: () => this.#servedVersion(),
-      isOwner: () => this.mesh.followPlace() === 0,
+      lowestServedVersion: () => this.#lowestServedVersion(),
+      isConfirmer: () => this.mesh.followPlace() === 0,
       logger,
     });
   }
@@ -177,7 +179,7 @@
   /** Whether callers may be sent here. */
   get ready(): boolean {
     if (this.#stopping || !this.runners.value) return false;
-    return this.#proofAge <= this.#longestProofAge;
+    return this.#proofAge <= this.#maxProofAgeMilliseconds;
   }
 
   /** Milliseconds for which a newer configuration may have gone unseen. */
@@ -195,23 +197,23 @@
     const { lifeCycle, configurationSource, runnerSource } = this.parameters;
     this.mesh.start(linkServer);
     lifeCycle.run("configuration", (signal) =>
-      this.#follow(
+      this.#followDocument(
         "configuration",
-        this.#noted(configurationSource),
+        this.#recordReadings(configurationSource),
         this.configuration,
         signal,
       ),
     );
     lifeCycle.run("runners", (signal) =>
-      this.#follow("runners", runnerSource, this.runners, signal),
+      this.#followDocument("runners", runnerSource, this.runners, signal),
     );
     lifeCycle.run("quarantine", async (signal) => {
-      const kept = await this.#rows.read(signal);
-      if (kept) this.quarantine.restore(kept);
+      const restored = await this.#rows.read(signal);
+      if (restored) this.quarantine.restore(restored);
     });
-    lifeCycle.run("board", (signal) => this.#keepBoard(signal));
+    lifeCycle.run("board", (signal) => this.#updateTracker(signal));
     lifeCycle.run("confirm", (signal) => this.#confirmation.run(signal));
-    lifeCycle.run("restore", (signal) => this.#restoreRows(signal));
+    lifeCycle.run("restore", (signal) => this.#restoreRowsAfterEpochs(signal));
   }
 
   /** Entries that a caller may use now; all known ones if none says it is ready. */
@@ -232,16 +234,16 @@
     const underWay = this.forwarder.underWay;
     logger.event(common.EventCode.DrainStarted, { underWay });
     await this.mesh.leave();
-    const last = stopMilliseconds - STOP_SLACK_MILLISECONDS;
+    const stopAfterMilliseconds = stopMilliseconds - STOP_MARGIN_MILLISECONDS;
     for (;;) {
       const elapsed = common.now() - startedAt;
-      const seen = elapsed >= LEAVE_MILLISECONDS;
-      if (elapsed >= last) break;
-      if (seen && this.forwarder.underWay === 0) break;
-      await common.sleep(STOP_LOOK_MILLISECONDS);
+      const wasNoticed = elapsed >= MIN_DRAIN_MILLISECONDS;
+      if (elapsed >= stopAfterMilliseconds) break;
+      if (wasNoticed && this.forwarder.underWay === 0) break;
+      await common.sleep(DRAIN_CHECK_INTERVAL_MILLISECONDS);
     }
-    const left = this.forwarder.underWay;
-    logger.event(common.EventCode.DrainFinished, { underWay: left });
+    const stillUnderWay = this.forwarder.underWay;
+    logger.event(common.EventCode.DrainFinished, { underWay: stillUnderWay });
   }
 
   /** The state dump. */
@@ -255,7 +257,7 @@
         age: this.configuration.age,
       },
       runners: { version: this.runners.version, age: this.runners.age },
-      board: this.board.runners(),
+      board: this.runnerTracker.runners(),
       quarantine: this.quarantine.describe(),
       mesh: this.mesh.describe(),
     };
@@ -268,17 +270,17 @@
     return (shape?.layers ?? 0) > 0;
   }
 
-  async #follow<T extends traffic.Versioned>(
+  async #followDocument<T extends traffic.Versioned>(
     name: string,
     source: traffic.DocumentSource<T>,
-    held: traffic.ProvenValue<T>,
+    current: traffic.ProvenValue<T>,
     signal: AbortSignal,
   ): Promise<void> {
     const { random, logger } = this.parameters;
     await traffic.followDocument({
       name,
       source,
-      held,
+      held: current,
       restBelowAge: () => this.#restBelowAge(),
       onReachable: (reachable) => (this.#storeReachable = reachable),
       random,
@@ -288,7 +290,7 @@
   }
 
   /** A source of which each reading is noted with the table's epoch. */
-  #noted(
+  #recordReadings(
     source: traffic.DocumentSource<traffic.TrafficConfiguration>,
   ): traffic.DocumentSource<traffic.TrafficConfiguration> {
     const { epoch } = this.parameters.table;
@@ -305,7 +307,7 @@
   }
 
   /** Lowest version of the configuration at an entry that takes requests. */
-  #servedVersion(): number | undefined {
+  #lowestServedVersion(): number | undefined {
     const versions = this.mesh
       .others()
       .flatMap(({ beat }) => (beat?.ready ? [beat.configuration.version] : []));
@@ -313,14 +315,14 @@
   }
 
   /** Writes held requests again whenever the table came back from a copy. */
-  async #restoreRows(signal: AbortSignal): Promise<void> {
+  async #restoreRowsAfterEpochs(signal: AbortSignal): Promise<void> {
     const { table, logger } = this.parameters;
-    let known = table.epoch.number;
+    let knownEpoch = table.epoch.number;
     while (!signal.aborted) {
-      await table.epoch.began.next(BOARD_LOOK_MILLISECONDS, signal);
+      await table.epoch.began.next(CHANGE_CHECK_INTERVAL_MILLISECONDS, signal);
       const { number: epoch, sawBegin } = table.epoch;
-      if (epoch === known) continue;
-      known = epoch;
+      if (epoch === knownEpoch) continue;
+      knownEpoch = epoch;
       if (!sawBegin) continue;
       const quarantine = this.quarantine.restoreRows();
       const code = common.EventCode.TableRowsRestored;
@@ -329,33 +331,36 @@
   }
 
   #restBelowAge(): number {
-    const later = this.mesh.followPlace() - FOLLOWERS;
-    if (later < 0) return 0;
-    return FALL_BACK_MILLISECONDS + later * FALL_BACK_STAGGER_MILLISECONDS;
+    const index = this.mesh.followPlace() - STORE_POLLERS;
+    if (index < 0) return 0;
+    return FALLBACK_AGE_MILLISECONDS + index * FALLBACK_STAGGER_MILLISECONDS;
   }
 
-  async #keepBoard(signal: AbortSignal): Promise<void> {
+  async #updateTracker(signal: AbortSignal): Promise<void> {
     let version = -1;
     while (!signal.aborted) {
       const list = this.runners.value;
       if (list && list.version !== version) {
-        this.board.update(list);
+        this.runnerTracker.update(list);
         this.endWatch.listed(list);
       }
       if (list) this.endReview.look(list, this.runners.age);
       version = list?.version ?? version;
-      await this.runners.changes.next(BOARD_LOOK_MILLISECONDS, signal);
+      await this.runners.changes.next(
+        CHANGE_CHECK_INTERVAL_MILLISECONDS,
+        signal,
+      );
     }
   }
 
   #budgetOf(service: string): retryBudget.RetryBudget {
-    const known = this.#budgets.get(service);
-    if (known) return known;
+    const existing = this.#budgets.get(service);
+    if (existing) return existing;
     const { share, allowance } = this.parameters.retries;
-    const entries = Math.max(FEWEST_ENTRIES, this.mesh.size);
-    const largestBalance = (allowance * USED_RETRY_SHARE) / entries;
+    const entries = Math.max(MIN_ENTRIES, this.mesh.size);
+    const largestBalance = (allowance * USED_RETRY_FRACTION) / entries;
     const created = new retryBudget.RetryBudget({
-      earnedPerRequest: share * USED_RETRY_SHARE,
+      earnedPerRequest: share * USED_RETRY_FRACTION,
       largestBalance,
       // A process that starts anew may have spent its balance just before.
       initialBalance: largestBalance / 2,
--- a/packages/daemon/src/gateway/operator_view.ts
+++ b/packages/daemon/src/gateway/operator_view.ts
@@ -1,4 +1,4 @@
-import type * as runnerBoard from "../forwarding/runner_board.ts";
+import type * as runnerTracker from "../forwarding/runner_tracker.ts";
 import * as problem from "../operator/problem.ts";
 import type * as gatewayModule from "./gateway.ts";
 
@@ -18,7 +18,7 @@
   NotReady = "not-ready",
   Leaving = "leaving",
   /** Known from its row or from others, and not heard. */
-  Unheard = "unheard",
+  Unreachable = "unheard",
 }
 
 /** One entry in the answers. */
@@ -41,34 +41,38 @@
   path: string,
 ): OperatorAnswer {
   if (method === "DELETE" && path.startsWith(QUARANTINE_PATH)) {
-    return lift(gateway, path.slice(QUARANTINE_PATH.length));
+    return liftQuarantine(gateway, path.slice(QUARANTINE_PATH.length));
   }
   if (method !== "GET") return refusal(405, "this entry is read only");
   switch (path) {
     case "/admin/v1/quarantine":
-      return whole(gateway.quarantine.cases());
+      return jsonAnswer(gateway.quarantine.cases());
     case "/admin/v1/status":
-      return whole(statusOf(gateway));
+      return jsonAnswer(statusOf(gateway));
     case "/admin/v1/hosts":
-      return whole(hostsOf(gateway));
+      return jsonAnswer(hostsOf(gateway));
     case "/admin/v1/state":
     case `/admin/v1/state?host=${encodeURIComponent(gateway.host)}`:
-      return whole(gateway.describe());
+      return jsonAnswer(gateway.describe());
     default:
       return refusal(404, "ask the process itself for its state");
   }
 }
 
-function lift(
+function liftQuarantine(
   gateway: gatewayModule.Gateway,
   fingerprint: string,
 ): OperatorAnswer {
   if (gateway.quarantine.lift(fingerprint)) {
-    return whole({ fingerprint, lifted: true });
+    return jsonAnswer({ fingerprint, lifted: true });
   }
-  const told = problem.notInQuarantine(fingerprint);
+  const notFound = problem.notInQuarantine(fingerprint);
   const mediaType = problem.PROBLEM_MEDIA_TYPE;
-  return { status: told.status, mediaType, body: problem.problemBody(told) };
+  return {
+    status: notFound.status,
+    mediaType,
+    body: problem.problemBody(notFound),
+  };
 }
 
 function statusOf(gateway: gatewayModule.Gateway): unknown {
@@ -80,7 +84,7 @@
     stale: !gateway.ready && !gateway.stopping,
     requests: gateway.forwarder.underWay,
     entries: entriesOf(gateway),
-    runners: gateway.board.runners().map((runner) => ({
+    runners: gateway.runnerTracker.runners().map((runner) => ({
       host: runner.identifier,
       service: runner.service,
       place: runner.dataCentre,
@@ -100,18 +104,18 @@
     listed: "live",
     seen: state,
   }));
-  const runners = gateway.board.runners().map((runner) => ({
+  const runners = gateway.runnerTracker.runners().map((runner) => ({
     name: runner.identifier,
     role: "upstream",
     place: runner.dataCentre,
     service: runner.service,
     listed: runner.leaving ? "leaving" : "live",
-    seen: seenOf(runner),
+    seen: runnerStateOf(runner),
   }));
   return [...entries, ...runners];
 }
 
-function seenOf(runner: runnerBoard.BoardRunner): string {
+function runnerStateOf(runner: runnerTracker.TrackedRunner): string {
   if (runner.leaving) return "leaving";
   return runner.spared ? "spared" : "in use";
 }
@@ -125,7 +129,9 @@
   };
   const others = gateway.mesh.others().map(({ member, beat }): EntryView => {
     const { host, dataCentre } = member;
-    const state = beat ? stateOf(beat.ready, beat.leaving) : EntryState.Unheard;
+    const state = beat
+      ? stateOf(beat.ready, beat.leaving)
+      : EntryState.Unreachable;
     const revision = beat?.configuration.version ?? -1;
     return { host, place: dataCentre, state, revision };
   });
@@ -137,7 +143,7 @@
   return ready ? EntryState.Ready : EntryState.NotReady;
 }
 
-function whole(value: unknown): OperatorAnswer {
+function jsonAnswer(value: unknown): OperatorAnswer {
   const body = JSON.stringify(value);
   return { status: 200, mediaType: "application/json", body };
 }
--- a/packages/stand_ins/src/gateways/gateways.ts
+++ b/packages/stand_ins/src/gateways/gateways.ts
@@ -187,7 +187,7 @@
         headers: [],
         body: Buffer.from(body),
         key: `key-${account}`,
-        patienceMilliseconds: PATIENCE_MILLISECONDS,
+        timeoutMilliseconds: PATIENCE_MILLISECONDS,
         resumeAfter: "",
         arrivedAt: common.instant(),
       },
@@ -222,12 +222,12 @@
 
 function sinkInto(seen: Seen, left: AbortSignal): daemon.AnswerSink {
   return {
-    left,
+    disconnected: left,
     answer: ({ status }) => (seen.status = status < 300 ? "whole" : "failed"),
     begin: () => {},
     write: () => Promise.resolve(),
     end: () => (seen.status = "whole"),
-    breakOff: () => (seen.status = "broken"),
+    abort: () => (seen.status = "broken"),
     refuse: (refusal) => {
       seen.status = refusal.kind;
       seen.refusal = refusal;
--- a/packages/stand_ins/src/gateways/pool_runner.ts
+++ b/packages/stand_ins/src/gateways/pool_runner.ts
@@ -151,7 +151,7 @@
   resumeAfter: number,
 ): AsyncGenerator<Buffer, void, void> {
   if (resumeAfter < 1) yield Buffer.from("id: 1\ndata: a\n\n");
-  if ((await ending) === RunEnd.Broken) throw new daemon.BrokenAnswer("reset");
+  if ((await ending) === RunEnd.Broken) throw new daemon.TruncatedBody("reset");
   yield Buffer.from("id: 2\ndata: b\n\n");
 }
 
--- a/packages/stand_ins/src/measure/group_world/entries_room.ts
+++ b/packages/stand_ins/src/measure/group_world/entries_room.ts
@@ -107,7 +107,7 @@
       slots,
       sameDataCentre: true,
       failureShare: 0,
-      spared: false,
+      suspended: false,
     }));
     const chosen = chooseRunner.chooseRunner(views, this.run.random);
     return Number(chosen?.identifier);
--- a/packages/stand_ins/src/system/epoch_confirmation_test.ts
+++ b/packages/stand_ins/src/system/epoch_confirmation_test.ts
@@ -32,10 +32,10 @@
   const served: Scene["served"] = { version: undefined };
   const confirmation = new epochConfirmation.EpochConfirmation({
     rows,
-    heldVersion: () => held.version,
+    currentVersion: () => held.version,
     latestReading: () => ({ epoch: rows.epoch.number, version: held.version }),
-    servedVersion: () => served.version,
-    isOwner: () => isOwner,
+    lowestServedVersion: () => served.version,
+    isConfirmer: () => isOwner,
     logger,
   });
   await rows.read();
