--- a/packages/daemon/src/forwarding/choose_runner_test.ts
+++ b/packages/daemon/src/forwarding/choose_runner_test.ts
@@ -21,7 +21,10 @@
   };
 }
 
-/** Requests at each runner after many were sent on the same old counts. */
+/**
+ * Number of requests at each runner after `requests` more were sent on counts
+ * that did not change.
+ */
 function sendOnStaleCounts(before: number[], requests: number): number[] {
   const random = new common.Random(7);
   const views = before.map((outstanding, index) =>
@@ -35,15 +38,16 @@
   return after;
 }
 
-// Callers of a group with room are refused or late: all entries send the requests of
-// one beat to the ranks that were emptiest in the last one, and their queues overflow.
-test("entries that choose by the same old counts do not herd", (t) => {
+// If all entries sent the requests of one heartbeat to the ranks that were
+// emptiest in the last one, the queues of these would overflow. Callers would
+// be refused or answered late although the group has room.
+test("requests sent on the same outdated counts spread over the runners", (t) => {
   const before = Array.from({ length: 63 }, (_, index) => index % 5);
   const after = sendOnStaleCounts(before, 60);
   t.true(Math.max(...after) <= SLOTS + 1);
 });
 
-test("fuller runners get less", (t) => {
+test("fuller runners get fewer requests", (t) => {
   const before = Array.from({ length: 60 }, (_, index) => (index < 30 ? 1 : 5));
   const after = sendOnStaleCounts(before, 600);
   const sent = (from: number, to: number) =>
@@ -53,7 +57,7 @@
   t.true(sent(0, 30) > 2 * sent(30, 60));
 });
 
-test("of few runners the best is taken, whatever is drawn", (t) => {
+test("with few runners the least loaded one is always chosen", (t) => {
   const random = new common.Random(1);
   const views = [
     viewOf(0, { outstanding: 5 }),
@@ -65,12 +69,12 @@
   }
 });
 
-test("a spared runner is drawn only if there is no other", (t) => {
+test("a suspended runner is chosen only if there is no other", (t) => {
   const random = new common.Random(1);
   const views = Array.from({ length: 12 }, (_, index) =>
     viewOf(index, { suspended: index !== 4, outstanding: index === 4 ? 9 : 0 }),
   );
   t.is(chooseRunner.chooseRunner(views, random)?.identifier, "i-4");
-  const allSuspended = views.map((view) => ({ ...view, spared: true }));
+  const allSuspended = views.map((view) => ({ ...view, suspended: true }));
   t.truthy(chooseRunner.chooseRunner(allSuspended, random));
 });
--- a/packages/daemon/src/forwarding/forwarder_test.ts
+++ b/packages/daemon/src/forwarding/forwarder_test.ts
@@ -15,14 +15,14 @@
 
 const KEY = "k";
 
-/** What one call to a runner comes to, given the event to go on after. */
+/** Simulates one call to a runner. */
 type Script = (
   call: runnerCaller.RunnerCall,
 ) => Promise<
   neverthrow.Result<runnerCaller.RunnerAnswer, runnerCaller.CallFailure>
 >;
 
-/** What the caller of a request saw. */
+/** What the caller of a request received. */
 interface CallerView {
   text: string;
   status: number;
@@ -92,7 +92,7 @@
   return tracker;
 }
 
-/** Sends one request past runners that answer by the scripts, in order. */
+/** Sends one request to runners whose calls follow the scripts, in order. */
 async function send(
   setup: Setup,
   scripts: Script[],
@@ -207,7 +207,7 @@
   return async () => neverthrow.err({ kind, reason: "reset" });
 }
 
-/** Says nothing until the call is ended. */
+/** Never answers; fails when the call is aborted. */
 function neverAnswers(): Script {
   return (call) =>
     new Promise((resolve) => {
@@ -222,16 +222,16 @@
 const EVENTS = { answerForm: traffic.AnswerForm.Events };
 const ONCE = { repeatability: traffic.Repeatability.AtMostOnce };
 
-test("a whole answer is passed on as it is", async (t) => {
+test("a complete answer is relayed unchanged", async (t) => {
   const { seen } = await send({}, [answers(["he", "llo"])]);
   t.is(seen.text, "hello");
   t.is(seen.ended, "whole");
 });
 
-// A delivery would be confirmed twice. The runner's connection is reset after the
-// request was sent: it may have run, so nobody else gets it, and the caller is
-// told that it may have run.
-test("a request that runs at most once is not repeated in doubt", async (t) => {
+// The connection to the runner is reset after the request was sent, so the
+// request may have run. A retry could confirm a delivery twice. No other runner
+// gets the request, and the caller learns that it may have run.
+test("an at-most-once request that may have run is not retried", async (t) => {
   const { seen, calls } = await send(ONCE, [
     failsWith(runnerCaller.CallFailureKind.Unknown),
   ]);
@@ -250,8 +250,9 @@
   }
 });
 
-// "Not run" is a promise on which callers act. It holds only if no runner had it.
-test("not run is said only if no attempt may have run", async (t) => {
+// Callers rely on the refusal "not run". It is true only if no runner ran the
+// request.
+test("a refusal says not-run only if no attempt may have run", async (t) => {
   const refused = answers([], { status: 503 });
   const both = await send(ONCE, Array<Script>(50).fill(refused));
   t.is(both.seen.refusal?.kind, callerRequest.RefusalKind.NotRun);
@@ -263,28 +264,29 @@
   t.is(doubt.seen.refusal?.kind, callerRequest.RefusalKind.MayHaveRun);
 });
 
-// When much fails at once, repeats would multiply the load that made it fail.
-test("without budget nothing is repeated", async (t) => {
+// When many requests fail at the same time, retries would multiply the load
+// that made them fail.
+test("without retry budget no request is retried", async (t) => {
   const setup = { retries: 0 };
   const { calls } = await send(setup, [answers([], { status: 503 })]);
   t.is(calls.length, 1);
 });
 
-test("a success that is not signed is not passed on", async (t) => {
+test("an unsigned success is not relayed", async (t) => {
   const { seen } = await send(ONCE, [answers(["x"], { signed: false })]);
   t.is(seen.refusal?.kind, callerRequest.RefusalKind.MayHaveRun);
   t.is(seen.text, "");
 });
 
-test("a runner's own failure is passed on unchanged", async (t) => {
+test("a runner's own failure is relayed unchanged", async (t) => {
   const { seen } = await send(ONCE, [answers(["why"], { status: 500 })]);
   t.is(seen.status, 500);
   t.is(seen.text, "why");
 });
 
-// The caller sees one stream without a gap. The first run breaks in the middle of
-// its third event; the second goes on after the second event.
-test("a stream that breaks goes on elsewhere after its last event", async (t) => {
+// The first attempt stops in the middle of its third event; the second
+// continues after the second event. The caller sees one stream without a gap.
+test("a truncated stream continues at another runner after its last event", async (t) => {
   const { seen, calls } = await send(EVENTS, [
     answers([event(1), event(2), "id: 3\nda"], { truncated: true }),
     answers([event(3), event(4)]),
@@ -294,8 +296,9 @@
   t.is(seen.ended, "whole");
 });
 
-// A run that went on at the wrong event would give the caller a stream with a
-// piece missing, which looks complete. It is broken off, and can be asked again.
+// An attempt that continued at the wrong event would give the caller a stream
+// that lacks an event but looks complete. The entry breaks the stream off, and
+// the caller can ask again.
 test("a stream with a gap is broken off", async (t) => {
   const { seen } = await send(EVENTS, [
     answers([event(1), event(2)], { truncated: true }),
@@ -305,9 +308,10 @@
   t.is(seen.ended, "broken");
 });
 
-// A rank of a group was lost: all its ranks say nothing for a second or two. The
-// caller has its first event from another group within its patience.
-test("a stream at a runner that stands still moves to another", async (t) => {
+// When a group loses a rank, none of its ranks sends anything for one to two
+// seconds. The caller gets its first event from another group before its
+// timeout.
+test("a stream at a stalled runner moves to another runner", async (t) => {
   const { seen, calls } = await send(EVENTS, [
     neverAnswers(),
     answers([event(1)]),
@@ -316,16 +320,17 @@
   t.is(seen.text, event(1));
 });
 
-test("an answer that does not come is ended at the route's time-out", async (t) => {
+test("a request without an answer is refused at the route's timeout", async (t) => {
   const setup = { ...ONCE, timeoutMilliseconds: 100 };
   const { seen } = await send(setup, [neverAnswers()]);
   t.is(seen.refusal?.kind, callerRequest.RefusalKind.TimedOut);
 });
 
-// A key that was taken away would still work at an entry that is cut off. Past
-// the time for which a configuration is relied on it runs no keyed request, and
-// calls no key wrong either, as it may be newer than what it knows.
-test("an entry that may be out of date runs no keyed request", async (t) => {
+// At an entry that is cut off, a revoked key would still work. Once the
+// configuration's proof is too old, the entry runs no request that needs a key.
+// Nor does it call a key unknown, because the key may be newer than the
+// configuration.
+test("an entry whose configuration may be outdated runs no request that needs a key", async (t) => {
   for (const key of [KEY, "other"]) {
     const { seen, calls } = await send({ proofAge: 4_500, key }, []);
     t.is(calls.length, 0);
@@ -333,15 +338,15 @@
   }
 });
 
-test("an unknown key is refused by an entry that is up to date", async (t) => {
+test("an entry with an up-to-date configuration refuses an unknown key", async (t) => {
   const { seen } = await send({ key: "other" }, []);
   t.is(seen.refusal?.kind, callerRequest.RefusalKind.UnknownKey);
 });
 
-// After a power loss all runners turn requests away while their groups are formed
-// anew, for a second or so. Callers come back with their one retry: refused again
-// they are lost. The request waits, asks again a few times, and is answered.
-test("a request waits for a service that is being formed anew", async (t) => {
+// After a power loss all runners refuse requests for about a second while their
+// groups are re-formed. Callers retry only once, so a second refusal is final.
+// The request waits, tries again a few times, and is answered.
+test("a request waits for a service whose group is being re-formed", async (t) => {
   const refused = answers([], { status: 503 });
   const scripts = [...Array<Script>(4).fill(refused), answers(["back"])];
   const { seen, calls } = await send({ retries: 10 }, scripts);
@@ -349,7 +354,7 @@
   t.is(calls.length, 5);
 });
 
-test("a request does not wait for long, and is told when to come back", async (t) => {
+test("a request waits for a limited time with few attempts, then is refused", async (t) => {
   const refused = answers([], { status: 503 });
   const scripts = Array<Script>(50).fill(refused);
   const startedAt = common.now();
@@ -359,9 +364,10 @@
   t.true(calls.length < 20);
 });
 
-// The caller gives up a confirmation that it may safely send again. Its time runs
-// out while it waits for a group that is formed anew; no runner has begun it.
-test("time that runs out before any run is told as not run", async (t) => {
+// A confirmation runs out of time while it waits for a group that is being
+// re-formed. No runner has begun it, so the caller may safely send it again,
+// and must learn so.
+test("a request that runs out of time before any attempt ran is refused as not-run", async (t) => {
   const refused = answers([], { status: 503 });
   const scripts = Array<Script>(50).fill(refused);
   const setup = {
--- a/packages/daemon/src/forwarding/outstanding_elsewhere_test.ts
+++ b/packages/daemon/src/forwarding/outstanding_elsewhere_test.ts
@@ -4,9 +4,10 @@
 
 const test = ava.default;
 
-// Many entries tell their counts several times a second, some go and come back. Were a
-// sum off by one entry's counts, its runner would look full, or empty, for good.
-test("sums stay what all entries told last", (t) => {
+// Many entries report their counts several times a second, and entries come and
+// go. If a sum were off by one entry's counts, its runner would look full, or
+// empty, for ever.
+test("the sums match the counts that all entries reported last", (t) => {
   const random = new common.Random(7);
   const elsewhere = new outstandingElsewhere.OutstandingElsewhere();
   const reported = new Map<string, Map<string, number>>();
--- a/packages/daemon/src/forwarding/retry_delay_test.ts
+++ b/packages/daemon/src/forwarding/retry_delay_test.ts
@@ -4,10 +4,10 @@
 
 const test = ava.default;
 
-// A hundred callers are refused in the second in which a group is lost, and it
-// takes two seconds to form anew. Nearly all must come back after that, not all at
-// once, and while they still have time.
-test("callers refused by a lost group come back when it is there again", (t) => {
+// A group is lost and takes two seconds to re-form. A hundred callers are
+// refused in the second in which it is lost. Nearly all of them must retry
+// after the group is back, not all at once, and while they still have time.
+test("callers refused by a lost group retry after it is back, spread over time", (t) => {
   const random = new common.Random(1);
   const delays = Array.from({ length: 100 }, () =>
     retryDelay.retryDelayMilliseconds(7_900, random),
@@ -17,7 +17,7 @@
   t.true(Math.max(...delays) - Math.min(...delays) > 700);
 });
 
-test("a caller with little time left is told a short time", (t) => {
+test("a caller with little time left gets the minimum retry delay", (t) => {
   const random = new common.Random(1);
   t.is(retryDelay.retryDelayMilliseconds(300, random), 250);
 });
--- a/packages/daemon/src/forwarding/runner_tracker_test.ts
+++ b/packages/daemon/src/forwarding/runner_tracker_test.ts
@@ -22,10 +22,10 @@
   return tracker.runners().map(({ identifier }) => identifier);
 }
 
-// Callers wait for a full runner while a sound one stands idle. The runner failed
-// its requests, hung and crashed; started anew under its identifier, it has none of
-// the failures and none of the requests of its former life.
-test("a runner that started anew has a clean record", (t) => {
+// A runner failed its requests, hung and crashed, and restarted under its
+// identifier. If the new incarnation kept the failures and requests of the old
+// one, callers would wait for a full runner while a healthy one is idle.
+test("a restarted runner has no failures, requests or suspension", (t) => {
   const tracker = trackerOf([runnerFixture.createRunner()]);
   for (let call = 0; call < 6; call++) {
     tracker.startCall("i-1")(runnerTracker.CallOutcome.Failure);
@@ -45,7 +45,7 @@
   t.is(tracker.runners()[0].failureShare, 0);
 });
 
-test("a runner that goes on keeps its record", (t) => {
+test("a runner whose registration changes keeps its failure share", (t) => {
   const tracker = trackerOf([runnerFixture.createRunner()]);
   tracker.startCall("i-1")(runnerTracker.CallOutcome.Failure);
   tracker.update({
@@ -55,10 +55,11 @@
   t.true(tracker.runners()[0].failureShare > 0);
 });
 
-// Each request sent there is turned away and sent again, which uses up the repeats
-// that all share. The address was given to another runner, and the old registration
-// stays listed for seconds while the list changes for other reasons.
-test("a runner that is gone from its address gets no more while listed", (t) => {
+// A runner's address went to another runner, but the old registration stays
+// listed for seconds while the list changes for other reasons. Each request
+// sent to it would be refused and retried, which uses up the retry budget that
+// all requests share.
+test("a runner whose address another runner has gets no requests while listed", (t) => {
   const other = runnerFixture.createRunner({ identifier: "i-2", port: 81 });
   const tracker = trackerOf([runnerFixture.createRunner(), other]);
   tracker.removeReplaced(runnerFixture.createRunner());
@@ -73,7 +74,7 @@
   t.deepEqual(identifiers(tracker), ["i-2"]);
 });
 
-test("a runner that is gone is taken again once it started anew", (t) => {
+test("a replaced runner is used again once it has restarted", (t) => {
   const tracker = trackerOf([runnerFixture.createRunner()]);
   tracker.removeReplaced(runnerFixture.createRunner());
   tracker.update({
@@ -83,8 +84,9 @@
   t.deepEqual(identifiers(tracker), ["i-1"]);
 });
 
-// The answer to a request of the former life comes when the new one is listed.
-test("a late word of the former life does not drop the new one", (t) => {
+// The answer to a request of the old incarnation arrives when the new one is
+// listed.
+test("a late answer to the old incarnation does not remove the new one", (t) => {
   const tracker = trackerOf([runnerFixture.createRunner()]);
   tracker.update({
     version: 2,
@@ -94,7 +96,10 @@
   t.deepEqual(identifiers(tracker), ["i-1"]);
 });
 
-/** A board on which a request at `i-1` has made no progress for long enough. */
+/**
+ * A tracker with a request at `i-1` that has made no progress for longer than
+ * the stall timeout.
+ */
 async function trackerWithStall(
   lockStep: boolean,
 ): Promise<runnerTracker.RunnerTracker> {
@@ -117,15 +122,16 @@
 function availableRunners(tracker: runnerTracker.RunnerTracker): string[] {
   const views = tracker.candidates("s", new Set());
   return views
-    .filter(({ suspended: spared }) => !spared)
+    .filter(({ suspended }) => !suspended)
     .map((view) => view.identifier);
 }
 
-// Callers' streams stand still while their group holds a pass, for 0.9 s. Given up
-// after 0.6 s they were all sent to the one rank that nothing was under way at, which
-// is on the frozen host, and never answered there. All ranks advance together: one
-// stalls, all have, and none is better before something is heard of it.
-test("when a rank has stalled, another is no way out until it is heard", async (t) => {
+// A group holds an iteration for 0.9 s, and its streams make no progress. After
+// 0.6 s the entry would abandon all of them for the one rank that has no
+// requests: the rank on the frozen host, which never answers. When one rank of
+// a group stalls, all do, so no rank is a better choice before it has sent
+// something.
+test("when a rank has stalled, each other rank is suspended until it sends something", async (t) => {
   const tracker = await trackerWithStall(true);
   t.deepEqual(availableRunners(tracker), []);
   tracker.startCall("i-2");
@@ -133,14 +139,14 @@
   t.deepEqual(availableRunners(tracker), ["i-2"]);
 });
 
-test("a runner on its own that stalls says nothing of the others", async (t) => {
+test("without lock-step a stalled runner does not suspend the others", async (t) => {
   const tracker = await trackerWithStall(false);
   t.deepEqual(availableRunners(tracker), ["i-2"]);
 });
 
-// A group that was formed anew takes work as a whole. Callers of a backlog waited for
-// another second while entries found that out rank by rank.
-test("when one rank of a group takes work again, all do", (t) => {
+// A re-formed group accepts requests on all ranks at once. If entries probed
+// rank by rank, the callers of a backlog would wait for another second.
+test("when one rank of a group accepts requests again, all its ranks get requests", (t) => {
   const runners = ["i-1", "i-2", "i-3"].map((identifier, index) =>
     runnerFixture.createRunner({ identifier, port: 80 + index }),
   );
@@ -155,9 +161,9 @@
   t.deepEqual(candidatesAfterProgress(false), ["i-1"]);
 });
 
-// A list made from older rows of the store says that a runner is ready which is about to
-// end: requests sent there are cut off.
-test("a runner that was leaving gets nothing new from an older list", (t) => {
+// A list made from older rows of the store says that a runner is ready that is
+// about to stop. Requests sent there would be cut off.
+test("a runner once listed as leaving gets no requests after an older list", (t) => {
   const leaving = runnerFixture.createRunner({ leaving: true });
   const tracker = trackerOf([leaving]);
   tracker.update({ version: 2, runners: [runnerFixture.createRunner()] });
--- a/packages/daemon/src/forwarding/urgency_at_runner_test.ts
+++ b/packages/daemon/src/forwarding/urgency_at_runner_test.ts
@@ -11,13 +11,13 @@
   });
 }
 
-// The backlog of an outage is late whatever happens; what comes after it is not.
-test("requests that are late go behind those that may be in time", (t) => {
+// The backlog of an outage is late in any case; the requests after it are not.
+test("late requests are less urgent than those that may be in time", (t) => {
   t.true(urgencyAfter(900) > urgencyAfter(20));
   t.is(urgencyAfter(20), 1);
 });
 
-test("late requests keep their order among each other", (t) => {
+test("late requests keep their order of urgency, down to the lowest", (t) => {
   t.true(urgencyAfter(900, 1) < urgencyAfter(900, 2));
   t.is(urgencyAfter(900, 9), 9);
 });
