--- a/packages/daemon/src/forwarding_mod.ts
+++ b/packages/daemon/src/forwarding_mod.ts
@@ -1,7 +1,7 @@
 /**
- * The parts of the daemon that pass requests on as they are, and that keep a
- * group's map. A process of these parts alone starts without the servers of the
- * daemon's own interface, in a third of the time.
+ * Exports the parts of the daemon that forward requests unchanged and those
+ * that maintain a group's expert map. A process that imports only these starts
+ * without the servers of the daemon's own interface, in a third of the time.
  */
 export * from "./dispatch/retry_budget.ts";
 export * from "./forwarding/caller_request.ts";
--- a/packages/daemon/src/gateway/epoch_confirmation.ts
+++ b/packages/daemon/src/gateway/epoch_confirmation.ts
@@ -1,42 +1,47 @@
 import * as common from "@geraniumkeel/common";
 import type * as memberRows from "../mesh/member_rows.ts";
 
-/** How often a process looks whether something speaks for the configuration. */
+/** How often a starting process checks whether it may trust the table. */
 const TRUST_CHECK_INTERVAL_MILLISECONDS = 50;
-/** How often the table is asked whether its epoch is confirmed. */
+/** How often the table is read for whether its epoch is confirmed. */
 const TABLE_READ_INTERVAL_MILLISECONDS = 500;
 /**
- * Time after which a process that started takes the table at its word: operators have
- * written again by then what it lost, and whoever knows more has told.
+ * Time after which a starting process trusts the table without a confirmation.
+ * By then operators have written again what the table lost, and any process
+ * that knows a newer configuration has sent it.
  */
 const MAX_DOUBT_MILLISECONDS = 3_000;
 
-/** A reading of the configuration. */
+/** What was read of the configuration from the table. */
 export interface ConfigurationReading {
-  /** Epoch of the table in which it was read. */
+  /** Epoch of the table in which the configuration was read. */
   epoch: number;
   version: number;
 }
 
-/** What confirming an epoch needs. */
+/** What the confirmation of an epoch needs. */
 export interface EpochConfirmationParameters {
   rows: memberRows.MemberRows;
-  /** Version that is held here; 0 for none. */
+  /** Version of the configuration that this process has; 0 for none. */
   currentVersion: () => number;
-  /** The latest reading; `undefined` before the first. */
+  /** The latest reading of the configuration; `undefined` before the first. */
   latestReading: () => ConfigurationReading | undefined;
-  /** Lowest version at an entry that takes requests; `undefined` if none is heard. */
+  /**
+   * Lowest version at another entry that takes requests; `undefined` if none is
+   * reachable.
+   */
   lowestServedVersion: () => number | undefined;
-  /** Whether it is for this process to confirm. */
+  /** Whether this process is the one that confirms epochs. */
   isConfirmer: () => boolean;
   logger: common.Logger;
 }
 
 /**
- * Whether the configuration in the table may be served by a process that starts. Right
- * after the table came back from a copy it may be an older one, in which keys are good
- * that were taken away since. Whoever was there before confirms the new epoch once the
- * table's configuration is as new as the one in force.
+ * Decides whether a starting process may serve the configuration in the table.
+ * Just after the table was restored from a copy, its configuration may be an
+ * older one that contains keys revoked since. A process that was running before
+ * confirms the new epoch once the table's configuration is as new as the one in
+ * force.
  */
 export class EpochConfirmation {
   #trusted = false;
@@ -44,12 +49,15 @@
 
   constructor(readonly parameters: EpochConfirmationParameters) {}
 
-  /** Whether what is held may be served. A table without epochs was never lost. */
+  /**
+   * Whether the configuration that this process has may be served. A table
+   * without epochs was never restored.
+   */
   get trusted(): boolean {
     return this.#trusted || this.parameters.rows.epoch.number === 0;
   }
 
-  /** Waits until the table can be trusted, and confirms each epoch after it. */
+  /** Waits until the table can be trusted, then confirms each later epoch. */
   async run(signal: AbortSignal): Promise<void> {
     let readAt = common.now();
     while (!signal.aborted && !this.#mayTrustTable()) {
@@ -69,6 +77,9 @@
     }
   }
 
+  /**
+   * Whether the configuration in the table is known, or assumed, to be current.
+   */
   #mayTrustTable(): boolean {
     const { rows, currentVersion, lowestServedVersion, latestReading } =
       this.parameters;
@@ -78,7 +89,8 @@
     const version = latestReading()?.version;
     if (version === undefined) return false;
     this.#firstReading ??= { version, at: common.now() };
-    // Written by the operator since this process looked first.
+    // An operator has written a new version since this process first read the
+    // table.
     if (version !== this.#firstReading.version) return true;
     const doubtedMilliseconds = common.now() - this.#firstReading.at;
     if (doubtedMilliseconds < MAX_DOUBT_MILLISECONDS) return false;
@@ -88,6 +100,11 @@
     return true;
   }
 
+  /**
+   * Whether this process should confirm the table's epoch now: the epoch is not
+   * confirmed, the configuration read in it is at least as new as this
+   * process's, and this process is the confirmer.
+   */
   #mayConfirm(): boolean {
     const { rows, latestReading, currentVersion, isConfirmer } =
       this.parameters;
--- a/packages/daemon/src/gateway/gateway.ts
+++ b/packages/daemon/src/gateway/gateway.ts
@@ -16,42 +16,55 @@
 import * as quarantineRows from "../quarantine/quarantine_rows.ts";
 
 /**
- * Part of the time in which a key that was taken away may still be served, after
- * which a configuration without proof is not relied on. The rest covers a request
- * that waits after it was let through, and its way.
+ * Fraction of the time allowed for revoking a key during which a configuration
+ * may be used without a newer proof. The rest covers requests that wait after
+ * they were admitted, and their way to the runner.
  */
 const MAX_PROOF_AGE_FRACTION = 0.8;
-/** Entries that ask the store; one more than needed, as one may die. */
+/** Entries that poll the store; one more than needed, as one may crash. */
 const STORE_POLLERS = 2;
 /**
- * Age of a proof at which an entry that is no follower asks the store itself, in
- * milliseconds: longer than a look takes, and staggered so that not all ask.
+ * Age of the last proof at which the first entry beyond these polls the store
+ * itself. It is longer than one poll takes. Each further entry waits longer by
+ * the stagger, so that not all poll at once.
  */
 const FALLBACK_AGE_MILLISECONDS = 1_400;
 const FALLBACK_STAGGER_MILLISECONDS = 250;
-/** Part of the allowed repeats that is used; the rest covers unequal load. */
+/**
+ * Fraction of the allowed retries that entries use; the rest covers unequal
+ * load.
+ */
 const USED_RETRY_FRACTION = 0.7;
-/** Entries that the allowance is shared among at least. */
+/** Minimum number of entries that the retry allowance is divided by. */
 const MIN_ENTRIES = 6;
-/** Time for which callers see that this entry leaves, in milliseconds. */
+/**
+ * Minimum duration of a drain. In this time callers notice that the entry is
+ * leaving.
+ */
 const MIN_DRAIN_MILLISECONDS = 3_300;
-/** Time before the process is killed at which it ends by itself. */
+/** A drain gives up this long before the process would be killed. */
 const STOP_MARGIN_MILLISECONDS = 700;
-/** How often a stopping process looks whether all is answered. */
+/** How often a draining process checks whether all requests are answered. */
 const DRAIN_CHECK_INTERVAL_MILLISECONDS = 50;
 
-/** How often the board is compared with the list, if no change is announced. */
+/**
+ * How often the runner list and the table epoch are checked if no change is
+ * announced.
+ */
 const CHANGE_CHECK_INTERVAL_MILLISECONDS = 1_000;
 
 /** What a gateway needs. */
 export interface GatewayParameters {
   self: wire.MeshMember;
   seeds: { address: string; port: number }[];
-  /** Longest time for which a key that was taken away may be served. */
+  /** Maximum time for which a revoked key may still be served. */
   revocationMilliseconds: number;
-  /** Time from the wish to stop until the process is killed. */
+  /** Time from the request to stop until the process is killed. */
   stopMilliseconds: number;
-  /** Repeats allowed over all entries, in a window. */
+  /**
+   * Retries allowed to all entries together in a window: `share` of the
+   * requests, plus `allowance`.
+   */
   retries: { share: number; allowance: number };
   table: backingServices.TableService;
   configurationSource: traffic.DocumentSource<traffic.TrafficConfiguration>;
@@ -64,8 +77,9 @@
 }
 
 /**
- * An entry that passes requests on as they are. It is ready once it knows which
- * requests may go where, and as long as it knows that this is not old.
+ * An entry that forwards requests unchanged. It is ready once it knows the
+ * routes and the runners, and while the proof of its configuration is recent
+ * enough.
  */
 export class Gateway {
   readonly configuration =
@@ -176,13 +190,15 @@
     return this.parameters.self.dataCentre;
   }
 
-  /** Whether callers may be sent here. */
+  /** Whether callers may be sent to this entry. */
   get ready(): boolean {
     if (this.#stopping || !this.runners.value) return false;
     return this.#proofAge <= this.#maxProofAgeMilliseconds;
   }
 
-  /** Milliseconds for which a newer configuration may have gone unseen. */
+  /**
+   * Milliseconds for which this entry may have missed a newer configuration.
+   */
   get #proofAge(): number {
     return this.#confirmation.trusted ? this.configuration.age : Infinity;
   }
@@ -216,16 +232,20 @@
     lifeCycle.run("restore", (signal) => this.#restoreRowsAfterEpochs(signal));
   }
 
-  /** Entries that a caller may use now; all known ones if none says it is ready. */
+  /**
+   * Entries that a caller may use now; all known entries if none reports that
+   * it is ready.
+   */
   entriesForCallers(): wire.MeshMember[] {
     const ready = this.mesh.readyMembers();
     return ready.length > 0 ? ready : this.mesh.knownMembers();
   }
 
   /**
-   * Stops taking part, and resolves when all requests are answered and callers
-   * have had time to see that this entry leaves. Callers hold on to what they
-   * were told for some seconds, so requests are served until then.
+   * Drains this entry. Resolves when all requests are answered and callers have
+   * had time to notice that this entry is leaving, or shortly before the
+   * process is killed. Callers use the list of entries that they received for
+   * some seconds more, so requests are served until then.
    */
   async drain(): Promise<void> {
     const { logger, stopMilliseconds } = this.parameters;
@@ -246,7 +266,7 @@
     logger.event(common.EventCode.DrainFinished, { underWay: stillUnderWay });
   }
 
-  /** The state dump. */
+  /** Returns the state dump. */
   describe(): unknown {
     return {
       ready: this.ready,
@@ -263,7 +283,10 @@
     };
   }
 
-  /** Engines whose layers are spread over experts work in groups of ranks. */
+  /**
+   * Whether the ranks of a service run in lock-step, in groups. They do if the
+   * layers of its engine are spread over experts.
+   */
   #inLockStep(service: string): boolean {
     const services = this.configuration.value?.services ?? [];
     const shape = services.find(({ name }) => name === service)?.engine;
@@ -289,7 +312,7 @@
     });
   }
 
-  /** A source of which each reading is noted with the table's epoch. */
+  /** Wraps a source so that each reading is recorded with the table's epoch. */
   #recordReadings(
     source: traffic.DocumentSource<traffic.TrafficConfiguration>,
   ): traffic.DocumentSource<traffic.TrafficConfiguration> {
@@ -306,7 +329,10 @@
     };
   }
 
-  /** Lowest version of the configuration at an entry that takes requests. */
+  /**
+   * Lowest version of the configuration at another entry that takes requests;
+   * `undefined` if there is no such entry.
+   */
   #lowestServedVersion(): number | undefined {
     const versions = this.mesh
       .others()
@@ -314,7 +340,10 @@
     return versions.length > 0 ? Math.min(...versions) : undefined;
   }
 
-  /** Writes held requests again whenever the table came back from a copy. */
+  /**
+   * Writes the rows of quarantined requests again whenever the table was
+   * restored from a copy.
+   */
   async #restoreRowsAfterEpochs(signal: AbortSignal): Promise<void> {
     const { table, logger } = this.parameters;
     let knownEpoch = table.epoch.number;
@@ -330,12 +359,19 @@
     }
   }
 
+  /**
+   * Proof age in milliseconds up to which this entry relies on other entries to
+   * poll the store; 0 if this entry is one that polls.
+   */
   #restBelowAge(): number {
     const index = this.mesh.followPlace() - STORE_POLLERS;
     if (index < 0) return 0;
     return FALLBACK_AGE_MILLISECONDS + index * FALLBACK_STAGGER_MILLISECONDS;
   }
 
+  /**
+   * Passes each new runner list to the tracker and to the checks for crashes.
+   */
   async #updateTracker(signal: AbortSignal): Promise<void> {
     let version = -1;
     while (!signal.aborted) {
@@ -353,6 +389,7 @@
     }
   }
 
+  /** Returns the retry budget of a service, and creates it on first use. */
   #budgetOf(service: string): retryBudget.RetryBudget {
     const existing = this.#budgets.get(service);
     if (existing) return existing;
@@ -362,7 +399,7 @@
     const created = new retryBudget.RetryBudget({
       earnedPerRequest: share * USED_RETRY_FRACTION,
       largestBalance,
-      // A process that starts anew may have spent its balance just before.
+      // A process that restarts may have spent its balance just before.
       initialBalance: largestBalance / 2,
     });
     this.#budgets.set(service, created);
--- a/packages/daemon/src/gateway/operator_view.ts
+++ b/packages/daemon/src/gateway/operator_view.ts
@@ -2,7 +2,7 @@
 import * as problem from "../operator/problem.ts";
 import type * as gatewayModule from "./gateway.ts";
 
-/** Path of a held request, before its fingerprint. */
+/** Path of a quarantined request, up to its fingerprint. */
 const QUARANTINE_PATH = "/admin/v1/quarantine/";
 
 /** An answer to an operator. */
@@ -12,12 +12,12 @@
   body: string;
 }
 
-/** Where an entry stands, as this one hears it. */
+/** State of an entry, as this entry knows it. */
 enum EntryState {
   Ready = "ready",
   NotReady = "not-ready",
   Leaving = "leaving",
-  /** Known from its row or from others, and not heard. */
+  /** Known from its row or from other entries, but not reachable. */
   Unreachable = "unheard",
 }
 
@@ -30,10 +30,11 @@
 }
 
 /**
- * What the command-line tool reads of a gateway, under the paths and in the shapes
- * of the product's own interface: `status`, `hosts`, `state` and `quarantine` show the
- * same columns wherever they ask. The configuration is changed where the gateway
- * follows it; all that can be done here is to lift a quarantine.
+ * Answers the command-line tool's requests to a gateway, under the paths and in
+ * the formats of the product's own interface, so that `status`, `hosts`,
+ * `state` and `quarantine` show the same columns for both. The configuration
+ * cannot be changed here, because a gateway only follows it. The only change
+ * that a gateway accepts is to lift a quarantine.
  */
 export function answerOperator(
   gateway: gatewayModule.Gateway,
@@ -43,7 +44,11 @@
   if (method === "DELETE" && path.startsWith(QUARANTINE_PATH)) {
     return liftQuarantine(gateway, path.slice(QUARANTINE_PATH.length));
   }
-  if (method !== "GET") return refusal(405, "this entry is read only");
+  if (method !== "GET")
+    return refusal(
+      405,
+      "this entry accepts only GET, and DELETE of a quarantine",
+    );
   switch (path) {
     case "/admin/v1/quarantine":
       return jsonAnswer(gateway.quarantine.cases());
@@ -55,7 +60,10 @@
     case `/admin/v1/state?host=${encodeURIComponent(gateway.host)}`:
       return jsonAnswer(gateway.describe());
     default:
-      return refusal(404, "ask the process itself for its state");
+      return refusal(
+        404,
+        "no such path here; ask the process on a host for that host's state",
+      );
   }
 }
 
@@ -151,7 +159,7 @@
 function refusal(status: number, detail: string): OperatorAnswer {
   const body = problem.problemBody({
     status,
-    title: status === 404 ? "Nothing there" : "Not allowed",
+    title: status === 404 ? "Not found" : "Method not allowed",
     outcome: problem.Outcome.NotRun,
     reason: "not-served-here",
     detail,
