--- a/packages/daemon/src/forwarding/admit_request.ts
+++ b/packages/daemon/src/forwarding/admit_request.ts
@@ -1,10 +1,13 @@
 import type * as traffic from "@geraniumkeel/traffic";
 import * as callerRequest from "./caller_request.ts";
 
-/** When a caller is told to come back to an entry that knows too little. */
+/**
+ * Retry delay sent to a caller while this entry has no configuration, or one
+ * that may be outdated.
+ */
 const NOT_READY_RETRY_MILLISECONDS = 500;
 
-/** A request that may be passed on. */
+/** A request that may be forwarded to a runner. */
 export interface AdmittedRequest {
   kind: "admitted";
   route: traffic.Route;
@@ -12,17 +15,19 @@
   account: traffic.Account | undefined;
 }
 
-/** A request that is answered here. */
+/** A request that this entry refuses. */
 export interface RefusedRequest {
   kind: "refused";
   refusal: callerRequest.Refusal;
 }
 
 /**
- * Whether the configuration lets a request through. `proofAge` is how long a
- * newer configuration may have gone unseen: past `longestProofAge` a key may have
- * been taken away without our knowing, so keyed requests are not run, and an
- * unknown key or route is not called wrong either.
+ * Decides by the configuration whether a request may be forwarded. `proofAge`
+ * is the time in milliseconds for which this entry may have missed a newer
+ * configuration. Beyond `maxProofAgeMilliseconds` a key may have been revoked
+ * without this entry knowing, so it runs no request that needs a key. Nor does
+ * it call a key or route unknown then, because a newer configuration may
+ * contain it.
  */
 export function admitRequest(parameters: {
   request: callerRequest.CallerRequest;
--- a/packages/daemon/src/forwarding/answer_relay.ts
+++ b/packages/daemon/src/forwarding/answer_relay.ts
@@ -4,7 +4,7 @@
 import type * as callerRequest from "./caller_request.ts";
 import * as runnerCaller from "./runner_caller.ts";
 
-/** Reads a body to its end; the error says how it broke off. */
+/** Reads a body to its end; the error says why the body was truncated. */
 export async function readCompleteBody(
   body: AsyncIterable<Buffer>,
 ): Promise<neverthrow.Result<Buffer, string>> {
@@ -21,14 +21,15 @@
 }
 
 /**
- * Passes the answers of one request's runs to its caller. Of a stream the caller
- * sees one answer: a later run goes on after the last whole event passed on, below
- * the head of the first run.
+ * Relays the answers of the attempts of one request to its caller. For a stream
+ * of events the caller sees one answer: each later attempt continues after the
+ * last complete event that was relayed, and the head of the first attempt
+ * stays.
  */
 export class AnswerRelay {
   #begun = false;
   #resumeAfter: string;
-  /** Number of the last event passed on. */
+  /** Number of the last event relayed; `undefined` before the first. */
   #lastNumber: number | undefined;
 
   constructor(
@@ -36,24 +37,27 @@
       sink: callerRequest.AnswerSink;
       answerForm: traffic.AnswerForm;
       resumeAfter: string;
-      /** Called for each event that is passed on. */
+      /** Called for each event that is relayed. */
       onEvent: () => void;
     },
   ) {
     this.#resumeAfter = parameters.resumeAfter;
   }
 
-  /** Whether the caller has some of the answer. */
+  /** Whether the caller has received part of the answer. */
   get begun(): boolean {
     return this.#begun;
   }
 
-  /** Event after which the next run is to go on; empty for the beginning. */
+  /**
+   * Number of the event after which the next attempt continues; empty to start
+   * from the beginning.
+   */
   get resumeAfter(): string {
     return this.#resumeAfter;
   }
 
-  /** Passes on an answer to its end; the error says how it broke off. */
+  /** Relays an answer to its end; the error says why it stopped before. */
   relay(
     answer: runnerCaller.RunnerAnswer,
   ): Promise<neverthrow.Result<void, string>> {
@@ -82,7 +86,7 @@
     try {
       for await (const piece of answer.body) {
         for (const event of splitter.push(piece)) {
-          const problem = await this.#passOn(event, answer.head);
+          const problem = await this.#relayEvent(event, answer.head);
           if (problem) return neverthrow.err(problem);
         }
       }
@@ -92,7 +96,8 @@
       }
       throw cause;
     }
-    if (splitter.pendingBytes > 0) return neverthrow.err("event not ended");
+    if (splitter.pendingBytes > 0)
+      return neverthrow.err("stream ended within an event");
     if (!this.#begun) sink.begin(answer.head);
     this.#begun = true;
     sink.end();
@@ -100,10 +105,11 @@
   }
 
   /**
-   * Passes an event on if it is the next one. A run that goes on elsewhere than
-   * where the one before stopped would have the caller see a gap or a repeat.
+   * Relays an event if it is the next in order, and returns the problem if it
+   * is not. An attempt that continued at the wrong event would make the caller
+   * see a gap or a repeated event.
    */
-  async #passOn(
+  async #relayEvent(
     event: eventSplitter.StreamEvent,
     head: callerRequest.AnswerHead,
   ): Promise<string | undefined> {
@@ -112,7 +118,7 @@
     if (number !== undefined) {
       const isFirst = this.#lastNumber === undefined;
       if (!isFirst && number !== (this.#lastNumber ?? 0) + 1) {
-        return `event ${number} after ${this.#lastNumber}`;
+        return `got event ${number} after event ${this.#lastNumber}`;
       }
       this.#lastNumber = number;
       this.#resumeAfter = String(number);
--- a/packages/daemon/src/forwarding/attempt_outcome.ts
+++ b/packages/daemon/src/forwarding/attempt_outcome.ts
@@ -2,51 +2,55 @@
 import * as callerRequest from "./caller_request.ts";
 import * as runnerTracker from "./runner_tracker.ts";
 
-/** How an attempt at one runner ended. */
+/** How an attempt at one runner finished. */
 export enum AttemptOutcomeKind {
-  /** The caller has the whole answer. */
+  /** The caller has received the complete answer. */
   Answered = "answered",
-  /** Certainly not run. */
+  /** The runner certainly did not run the request. */
   NotRun = "not-run",
-  /** It ran and failed, by the runner's own word. */
+  /** The runner ran the request and reported that it failed. */
   Failed = "failed",
-  /** It may have run; nothing of it reached the caller. */
+  /** The request may have run; the caller has received nothing of an answer. */
   Unknown = "unknown",
-  /** The answer broke off after some of it had reached the caller. */
+  /** The answer stopped early, after the caller had received part of it. */
   Truncated = "broken",
-  /** Time ran out. */
+  /** The request ran out of time. */
   TimedOut = "timed-out",
-  /** The runner did not get on and was given up. */
+  /** The runner made no progress, and the entry abandoned the attempt. */
   Stalled = "stalled",
-  /** The caller has left. */
+  /** The caller disconnected. */
   CallerDisconnected = "left",
-  /** It is in quarantine, and is sent to no runner. */
+  /** The request is quarantined, so no runner gets it. */
   Quarantined = "quarantined",
 }
 
-/** End of an attempt, with what is told to the caller if it was the last. */
+/**
+ * Outcome of an attempt. If it is the last one, the caller gets its failure or
+ * reason.
+ */
 export interface AttemptOutcome {
   kind: AttemptOutcomeKind;
   reason: string;
-  /** The runner's own answer, where it failed. */
+  /** The runner's own answer, if the runner reported a failure. */
   failure?: { head: callerRequest.AnswerHead; body: Buffer };
 }
 
-/** End of an attempt whose request ran out of time. */
+/** Outcome of an attempt whose request ran out of time. */
 export const TIMED_OUT: AttemptOutcome = {
   kind: AttemptOutcomeKind.TimedOut,
   reason: "time ran out",
 };
 
-/** End of an attempt whose request was put in quarantine. */
+/** Outcome of an attempt whose request was quarantined. */
 export const QUARANTINED: AttemptOutcome = {
   kind: AttemptOutcomeKind.Quarantined,
-  reason: "in quarantine: runners ended while they ran this request",
+  reason: "in quarantine: runners crashed while they ran this request",
 };
 
 /**
- * Why this side ended a request, if it did: its caller has left, or `cut` was aborted
- * with an end.
+ * Returns the outcome if this entry cancelled the attempt, else `undefined`. It
+ * does so when the caller disconnects (`disconnected`), and when the request
+ * aborts `cancel`, with the outcome as the signal's reason.
  */
 export function cancelledOutcome(
   disconnected: AbortSignal,
@@ -60,7 +64,7 @@
   return cancel.aborted ? (cancel.reason as AttemptOutcome) : undefined;
 }
 
-/** What the log says of an attempt. */
+/** What the log says about an attempt. */
 export interface AttemptSummary {
   runner: string;
   end: AttemptOutcomeKind;
@@ -69,8 +73,8 @@
 }
 
 /**
- * Whether another runner may be tried after an attempt, when `runs` attempts ran or
- * may have.
+ * Whether another runner may be tried after an attempt with this outcome, when
+ * `runs` attempts ran or may have run.
  */
 export function mayRetry(
   outcome: AttemptOutcome,
@@ -95,9 +99,10 @@
 }
 
 /**
- * What a caller is told that gets no answer. After a run, or one that may have been,
- * nothing is "not run" any more; before one it is, also where time ran out in
- * waiting for a runner.
+ * Kind of refusal for a caller that gets no answer. If none of the attempts ran
+ * or may have run, the caller learns that the request did not run, even if time
+ * ran out while the request waited for a runner. Otherwise the refusal must not
+ * say so.
  */
 export function refusalKind(
   outcome: AttemptOutcome,
@@ -109,7 +114,7 @@
     : callerRequest.RefusalKind.MayHaveRun;
 }
 
-/** Whether an attempt ended in a way in which it also ends when its runner does. */
+/** Whether a crash of the runner may have caused this outcome. */
 export function mayBeCrash(
   kind: AttemptOutcomeKind,
   runnerIsUnresponsive: boolean,
@@ -120,7 +125,8 @@
     case AttemptOutcomeKind.Stalled:
       return true;
     case AttemptOutcomeKind.TimedOut:
-      // Many do when runners have too much to do, and go on.
+      // Requests also time out at overloaded runners, which keep sending
+      // messages.
       return runnerIsUnresponsive;
     case AttemptOutcomeKind.Answered:
     case AttemptOutcomeKind.NotRun:
@@ -131,7 +137,7 @@
   }
 }
 
-/** What an attempt tells of its runner. */
+/** What an attempt's outcome says about the health of its runner. */
 export function callOutcomeOf(
   kind: AttemptOutcomeKind,
 ): runnerTracker.CallOutcome {
--- a/packages/daemon/src/forwarding/caller_request.ts
+++ b/packages/daemon/src/forwarding/caller_request.ts
@@ -1,72 +1,83 @@
 import type * as common from "@geraniumkeel/common";
 
-/** A header as sent, in order and spelling. */
+/** A header with the order and spelling in which it was sent. */
 export type Header = [name: string, value: string];
 
-/** One request of a caller that is passed on as it is. */
+/** A caller's request, which is forwarded unchanged. */
 export interface CallerRequest {
-  /** The caller's own name for this request. */
+  /** Identifier that the caller gave to this request. */
   identifier: string;
   method: string;
   /** Path and query, as sent. */
   target: string;
-  /** Path alone. */
+  /** Path without the query. */
   path: string;
   host: string;
-  /** Headers that go on to the runner, unchanged. */
+  /** Headers that go to the runner unchanged. */
   headers: Header[];
   body: Buffer;
   /** Access key; `undefined` if none was sent. */
   key: string | undefined;
-  /** How long the caller waits, counted from arrival; 0 if not said. */
+  /**
+   * How long the caller waits for its answer, counted from arrival; 0 if the
+   * caller did not say.
+   */
   timeoutMilliseconds: number;
-  /** Event after which a stream is to go on; empty for the beginning. */
+  /**
+   * Number of the event after which the caller wants a stream to continue;
+   * empty to start from the beginning.
+   */
   resumeAfter: string;
   arrivedAt: common.Instant;
 }
 
-/** Head of an answer, as it goes to the caller. */
+/** Head of an answer, as the caller receives it. */
 export interface AnswerHead {
   status: number;
   headers: Header[];
 }
 
-/** Kinds of answer that this system gives itself. */
+/** Why an entry answers a request itself in place of a runner. */
 export enum RefusalKind {
-  /** Nothing at this host and path. */
+  /** No route matches the host and path. */
   NoRoute = "no-route",
-  /** No account has this key. */
+  /** No account has this access key. */
   UnknownKey = "unknown-key",
-  /** It has not run and never will. */
+  /** The request has not run and never will. */
   NotRun = "not-run",
-  /** It may have run. */
+  /** The request may have run. */
   MayHaveRun = "may-have-run",
-  /** Time ran out; it may have run. */
+  /** The request ran out of time and may have run. */
   TimedOut = "timed-out",
 }
 
-/** An answer that this system gives itself, with its reason. */
+/** An answer that an entry gives itself, with its reason. */
 export interface Refusal {
   kind: RefusalKind;
   reason: string;
-  /** When to come back, in milliseconds; for `NotRun`. */
+  /** Delay in milliseconds after which the caller may retry; 0 for none. */
   retryAfterMilliseconds: number;
 }
 
-/** The caller's side of one request. It is answered once. */
+/**
+ * Receives the answer to one request and sends it to the caller. Exactly one
+ * answer is given.
+ */
 export interface AnswerSink {
-  /** Aborts when the caller has left. */
+  /** Aborts when the caller has disconnected. */
   readonly disconnected: AbortSignal;
-  /** Answers with a head and a whole body. */
+  /** Sends a complete answer. */
   answer(head: AnswerHead, body: Buffer): void;
-  /** Begins an answer of which pieces follow. */
+  /** Sends the head of an answer whose body follows in pieces. */
   begin(head: AnswerHead): void;
-  /** Passes on one piece; resolves when the caller can take more. */
+  /** Sends one piece of the body; resolves when the caller can receive more. */
   write(piece: Buffer): Promise<void>;
-  /** Ends an answer as complete. */
+  /** Finishes an answer as complete. */
   end(): void;
-  /** Breaks off an answer so that it cannot look complete. */
+  /**
+   * Breaks the connection off, so that a partial answer cannot look complete.
+   */
   abort(): void;
-  /** Answers in the system's own name. */
+  /** Sends a refusal by this entry. */
   refuse(refusal: Refusal): void;
 }
--- a/packages/daemon/src/forwarding/choose_runner.ts
+++ b/packages/daemon/src/forwarding/choose_runner.ts
@@ -1,39 +1,42 @@
 import type * as common from "@geraniumkeel/common";
 
-/** What is known of a runner that could take a request. */
+/** State of a runner that could take a request. */
 export interface RunnerView {
   identifier: string;
-  /** Requests under way there, from all entries. */
+  /** Requests in progress at the runner, from all entries. */
   outstanding: number;
-  /** Requests that it works on at once. */
+  /** Requests that the runner processes at the same time. */
   slots: number;
   sameDataCentre: boolean;
-  /** Part of its latest answers that failed, 0 to 1. */
+  /** Share of the runner's recent answers that failed, 0 to 1. */
   failureShare: number;
-  /** It made no progress lately. */
+  /** The runner should get no new requests for now. */
   suspended: boolean;
 }
 
 /**
- * How much fuller than another, as a part of its slots, a runner of the own data
- * centre may be and still be taken. The way between data centres costs 1 to 3 ms
- * of some 400 allowed: less than one request more in a batch of eight.
+ * Score added for a runner in another data centre, as a fraction of its slots.
+ * A runner in the same data centre is preferred until it is fuller by this
+ * much. The way to another data centre takes 1 to 3 ms of some 400 ms allowed:
+ * less than one more request costs in a batch of eight.
  */
 const REMOTE_PENALTY = 0.06;
 /**
- * What a runner that fails all its requests counts as, in times its slots. A
- * repeat costs a whole further attempt, so a runner that fails half of them is
- * taken only when the others are fuller by two thirds of their slots or more.
+ * Score added for a runner that fails all its requests, in multiples of its
+ * slots. A retry costs a complete further attempt, so a runner that fails half
+ * of its requests is chosen only if the others are fuller by two thirds of
+ * their slots or more.
  */
 const FAILURE_PENALTY = 1.4;
 /**
- * Random part of a score, in parts of the slots. Several entries choose on the
- * same counts, which are up to a heartbeat old; without it all of them would
- * take the same runner at once.
+ * Upper bound of the random part of a score, as a fraction of the slots.
+ * Several entries choose by the same counts, which are up to one heartbeat old.
+ * Without the random part all of them would choose the same runner at the same
+ * time.
  */
 const MAX_JITTER = 0.08;
 
-/** How unwelcome a further request is at a runner; the least is best. */
+/** Score of a runner for one more request; the lowest is best. */
 export function loadScore(view: RunnerView, random: common.Random): number {
   const fullness = (view.outstanding + 1) / Math.max(1, view.slots);
   const distance = view.sameDataCentre ? 0 : REMOTE_PENALTY;
@@ -42,18 +45,23 @@
 }
 
 /**
- * Runners that are compared for a request, drawn anew each time (the power of two
- * choices). Entries know of each other's requests a beat late: if all of them compared
- * all runners, the requests of a beat would go to the same few, whose queues overflow
- * while others idle. Of two drawn at random each entry takes the emptier one.
+ * Runners that are sampled at random and compared for each request (the power
+ * of two choices). An entry learns of other entries' requests one heartbeat
+ * late. If every entry compared all runners, the requests sent within one
+ * heartbeat would all go to the same few, whose queues would overflow while
+ * other runners were idle.
  */
 const SAMPLE_SIZE = 2;
-/** Runners up to which all are compared: little can be sent blindly to so few. */
+/**
+ * Number of runners up to which all are compared: so few cannot get many
+ * requests on outdated counts.
+ */
 const MAX_RUNNERS_WITHOUT_SAMPLING = 5;
 
 /**
- * The runner that a request burdens least. Runners that are spared are taken only
- * if there is no other: a slow answer is better than none.
+ * Chooses the runner with the lowest score, or `undefined` if there is none.
+ * Suspended runners are chosen only if there are no others: a slow answer is
+ * better than none.
  */
 export function chooseRunner(
   views: RunnerView[],
@@ -75,7 +83,7 @@
   return best;
 }
 
-/** The runners that are compared: all of few, some of many. */
+/** Returns the runners to compare: all if there are few, else a sample. */
 function sampleCandidates(
   views: RunnerView[],
   random: common.Random,
--- a/packages/daemon/src/forwarding/departed_incarnations.ts
+++ b/packages/daemon/src/forwarding/departed_incarnations.ts
@@ -1,17 +1,21 @@
 import * as common from "@geraniumkeel/common";
 import * as traffic from "@geraniumkeel/traffic";
 
-/** Time for which a life that left is remembered, in milliseconds. */
+/** How long a departed incarnation is remembered. */
 const RETENTION_MILLISECONDS = 60_000;
 
 /**
- * Lives of runners that were listed as leaving. A list that is made of older rows says
- * that they are ready: a runner that is about to end would be sent new requests.
+ * Incarnations of runners that were once listed as leaving. A list made from
+ * older rows says that such a runner is ready; without this record it would get
+ * new requests shortly before it stops.
  */
 export class DepartedIncarnations {
   readonly #lastListedAt = new Map<string, number>();
 
-  /** The runners of a list, leaving if they ever were. */
+  /**
+   * Returns the runners of a list, each marked as leaving if its incarnation
+   * was ever listed as leaving.
+   */
   apply(runners: readonly traffic.RunnerEntry[]): traffic.RunnerEntry[] {
     const now = common.now();
     const applied = runners.map((runner) => this.#applyTo(runner, now));
--- a/packages/daemon/src/forwarding/event_splitter.ts
+++ b/packages/daemon/src/forwarding/event_splitter.ts
@@ -1,29 +1,30 @@
-/** Ends one event of a stream. */
+/** Terminates each event of a stream. */
 const EVENT_END = Buffer.from("\n\n");
-/** Field that numbers an event. */
+/** Field that carries the number of an event. */
 const ID_FIELD = "id:";
 
-/** One whole event of a stream. */
+/** One complete event of a stream. */
 export interface StreamEvent {
-  /** Its number; `undefined` if it has none. */
+  /** Number of the event; `undefined` if it has none. */
   number: number | undefined;
-  /** Its bytes, with the blank line that ends it. */
+  /** Bytes of the event, including the blank line that terminates it. */
   bytes: Buffer;
 }
 
 /**
- * Cuts a stream into whole events. A runner may stop in the middle of one; what
- * is passed on ends with an event, so that another run can go on after it.
+ * Splits a stream into complete events. A runner may stop in the middle of an
+ * event. Only complete events are relayed, so that another attempt can continue
+ * after the last of them.
  */
 export class EventSplitter {
   #incomplete: Buffer = Buffer.alloc(0);
 
-  /** Bytes of an event that has not ended. */
+  /** Number of bytes received of an event that is still incomplete. */
   get pendingBytes(): number {
     return this.#incomplete.length;
   }
 
-  /** Takes bytes and gives the events that they complete. */
+  /** Adds bytes and returns the events that they complete. */
   push(bytes: Buffer): StreamEvent[] {
     let rest =
       this.#incomplete.length > 0
--- a/packages/daemon/src/forwarding/forwarded_request.ts
+++ b/packages/daemon/src/forwarding/forwarded_request.ts
@@ -15,23 +15,26 @@
 import type * as runnerCaller from "./runner_caller.ts";
 
 /**
- * Longest wait for a service all of whose runners turn requests away with room to
- * spare, in milliseconds: a lost group is formed anew within it. A caller that is
- * refused then has mostly used up its one retry when it is back.
+ * Maximum time that a request waits while the runners of its service refuse
+ * requests although they have room. A group that lost a rank is re-formed
+ * within this time. A caller that is refused in the meantime has mostly used up
+ * its one retry by the time the group is back.
  */
 const MAX_WAIT_MILLISECONDS = 1_500;
-/** Part of the caller's patience that such a wait takes at most. */
+/** Fraction of the caller's timeout that such a wait may take. */
 const MAX_WAIT_TIMEOUT_FRACTION = 0.25;
-/** How often a waiting request looks for a runner, in milliseconds. */
+/** How often a waiting request checks for a runner. */
 const WAIT_CHECK_INTERVAL_MILLISECONDS = 50;
 
-/** One request on its way. */
+/** What a forwarded request needs. */
 export interface ForwardedRequestParameters {
   request: callerRequest.CallerRequest;
   sink: callerRequest.AnswerSink;
   route: traffic.Route;
   account: traffic.Account | undefined;
-  /** Milliseconds that the caller has spent on earlier tries of its own. */
+  /**
+   * Estimated milliseconds that the caller spent on earlier tries of its own.
+   */
   spentBefore: number;
   service: string;
   tracker: runnerTracker.RunnerTracker;
@@ -44,7 +47,7 @@
   metrics: common.Metrics;
 }
 
-/** What the log says of the request. */
+/** What the log says about the request. */
 export interface ForwardOutcome {
   route: string;
   account: string;
@@ -52,23 +55,32 @@
   end: string;
   milliseconds: number;
   attempts: attemptOutcome.AttemptSummary[];
-  /** Name of the request by what it asks for, if it is in quarantine. */
+  /**
+   * Identifies what the request asks for; set only if the request is
+   * quarantined.
+   */
   fingerprint: string | undefined;
 }
 
-/** Conducts one admitted request: chooses runners, repeats what may be repeated. */
+/**
+ * Forwards one admitted request: chooses runners, makes one attempt after
+ * another as far as the route and the retry budget allow, and gives the caller
+ * the final answer.
+ */
 export class ForwardedRequest implements watchedRequests.WatchedRequest {
   readonly #attempts: attemptOutcome.AttemptSummary[] = [];
   readonly #tried = new Set<string>();
-  /** Aborts with the end that this side gives an attempt under way. */
+  /** Aborts the attempt in progress; the reason is its outcome. */
   readonly #cancellation = new AbortController();
   readonly #relay: answerRelay.AnswerRelay;
   readonly #fingerprint: fingerprint.LazyFingerprint;
-  /** Attempts that ran or may have. */
+  /** Number of attempts that ran or may have run. */
   #runs = 0;
   readonly #clock: requestClock.RequestClock;
   #attempt: runnerAttempt.RunnerAttempt | undefined;
-  /** Milliseconds from arrival to the first of an answer; -1 before it. */
+  /**
+   * Milliseconds from arrival to the first part of an answer; -1 before that.
+   */
   #firstAnswerMilliseconds = -1;
 
   constructor(readonly parameters: ForwardedRequestParameters) {
@@ -86,19 +98,20 @@
     });
   }
 
-  /** Service that it is for. */
+  /** Service whose runners the request is for. */
   get service(): string {
     return this.parameters.service;
   }
 
-  /** Name of the request by what it asks for. */
+  /** Identifies what the request asks for. */
   get fingerprint(): string {
     return this.#fingerprint.value;
   }
 
   /**
-   * It is put in quarantine. A run that answers is left to its end, good or bad, and so
-   * is one that may not be repeated.
+   * Cancels the request because it has been quarantined. An attempt whose
+   * answer has begun continues to its end, and so does a request that may run
+   * at most once.
    */
   stop(): void {
     const { repeatability } = this.parameters.route;
@@ -107,7 +120,9 @@
       this.#cancellation.abort(attemptOutcome.QUARANTINED);
   }
 
-  /** Runs the request to its answer. */
+  /**
+   * Runs the request until the caller has its final answer or has disconnected.
+   */
   async run(): Promise<ForwardOutcome> {
     const { route, account, service, quarantine } = this.parameters;
     const timer = setTimeout(
@@ -165,7 +180,7 @@
         return (
           lastOutcome ?? {
             kind: attemptOutcome.AttemptOutcomeKind.NotRun,
-            reason: "no runner",
+            reason: "no runner available",
           }
         );
       }
@@ -179,7 +194,7 @@
     }
   }
 
-  /** Finds out whether an attempt broke off as its runner ended. */
+  /** Finds out whether an attempt failed because its runner crashed. */
   async #checkForCrash(
     outcome: attemptOutcome.AttemptOutcome,
     runner: traffic.RunnerEntry,
@@ -195,8 +210,9 @@
   }
 
   /**
-   * Waits a moment for a service that is being formed anew; false if there is
-   * nothing to wait for, or not for so long.
+   * Waits a moment while the runners of the service refuse requests although
+   * they have room, as a group does that is being re-formed. Returns false if
+   * no runner refuses, or if the request has waited too long already.
    */
   async #waitForRunner(): Promise<boolean> {
     const { tracker, service, sink, request } = this.parameters;
@@ -244,9 +260,10 @@
   }
 
   /**
-   * Whether another runner may be tried in place of waiting on. Only where there is
-   * another, the request may be repeated, and the budget of repeats is not spent:
-   * a wait that may still end well is better than a refusal.
+   * Whether the attempt may be abandoned for another runner. That requires an
+   * idempotent request with attempts left, retry budget, and another runner
+   * that is not suspended. Otherwise waiting is better: the attempt may still
+   * succeed, and abandoning it would mean a refusal.
    */
   #mayTryAnother(): boolean {
     const { route, tracker, service, budgetOf } = this.parameters;
@@ -254,7 +271,7 @@
     if (this.#runs + 1 >= route.mostAttempts) return false;
     if (budgetOf(service).balance < 1) return false;
     const others = tracker.candidates(service, this.#tried);
-    return others.some(({ suspended: spared }) => !spared);
+    return others.some(({ suspended }) => !suspended);
   }
 
   #cancelledOutcome(): attemptOutcome.AttemptOutcome | undefined {
--- a/packages/daemon/src/forwarding/forwarder.ts
+++ b/packages/daemon/src/forwarding/forwarder.ts
@@ -10,26 +10,30 @@
 import type * as runnerTracker from "./runner_tracker.ts";
 import type * as runnerCaller from "./runner_caller.ts";
 
-/** What passing requests on needs. */
+/** What a forwarder needs. */
 export interface ForwarderParameters {
   configuration: traffic.ProvenValue<traffic.TrafficConfiguration>;
-  /** Milliseconds for which a newer configuration may have gone unseen. */
+  /**
+   * Milliseconds for which this entry may have missed a newer configuration.
+   */
   proofAge: () => number;
-  /** Age of the configuration's proof up to which keyed requests are run. */
+  /**
+   * Age of the configuration's proof up to which requests that need a key run.
+   */
   maxProofAgeMilliseconds: number;
   tracker: runnerTracker.RunnerTracker;
   caller: runnerCaller.RunnerCaller;
   budgetOf: (service: string) => retryBudget.RetryBudget;
   quarantine: quarantine.Quarantine;
   endWatch: endWatch.EndWatch;
-  /** Told of each answer that a runner begins. */
+  /** Called when a runner begins an answer. */
   onAnswerStart: (runner: traffic.RunnerEntry) => void;
   random: common.Random;
   logger: common.Logger;
   metrics: common.Metrics;
 }
 
-/** Passes callers' requests on to runners and their answers back. */
+/** Forwards callers' requests to runners and relays the answers. */
 export class Forwarder {
   #view: traffic.TrafficView | undefined;
   #underWay = 0;
@@ -37,12 +41,15 @@
 
   constructor(readonly parameters: ForwarderParameters) {}
 
-  /** Requests that are not answered yet. */
+  /** Number of requests that have no final answer yet. */
   get underWay(): number {
     return this.#underWay;
   }
 
-  /** Handles one request until it is answered or its caller has left. */
+  /**
+   * Handles one request until it has its final answer or its caller has
+   * disconnected.
+   */
   async forward(
     request: callerRequest.CallerRequest,
     sink: callerRequest.AnswerSink,
@@ -115,7 +122,10 @@
     return this.#view;
   }
 
-  /** One of the route's services, each as often as its weight says. */
+  /**
+   * Chooses one of the route's services at random, in proportion to the
+   * weights.
+   */
   #chooseService(route: traffic.Route): string {
     const { shares } = route;
     const total = shares.reduce((sum, { weight }) => sum + weight, 0);
--- a/packages/daemon/src/forwarding/outstanding_elsewhere.ts
+++ b/packages/daemon/src/forwarding/outstanding_elsewhere.ts
@@ -1,13 +1,17 @@
 /**
- * Requests under way at runners from all other entries. The sums are kept as counts
- * come in: summed anew for each choice, a hundred entries times two hundred runners
- * would be most of what a choice takes.
+ * Number of requests in progress at each runner from all other entries. The
+ * sums are updated as counts arrive. Adding up the counts for each choice of a
+ * runner would take most of that choice's time: there may be a hundred entries
+ * and two hundred runners.
  */
 export class OutstandingElsewhere {
   readonly #byHost = new Map<string, ReadonlyMap<string, number>>();
   readonly #sums = new Map<string, number>();
 
-  /** Takes the counts of an entry, by runner; `undefined` when it is gone. */
+  /**
+   * Replaces the counts of an entry, by runner; `undefined` when the entry is
+   * disconnected.
+   */
   setCountsOf(
     host: string,
     counts: ReadonlyMap<string, number> | undefined,
@@ -21,7 +25,10 @@
     for (const [runner, count] of counts) this.#add(runner, count);
   }
 
-  /** Requests at a runner, from all other entries together. */
+  /**
+   * Number of requests in progress at a runner, from all other entries
+   * together.
+   */
   countAt(runner: string): number {
     return this.#sums.get(runner) ?? 0;
   }
--- a/packages/daemon/src/forwarding/retry_delay.ts
+++ b/packages/daemon/src/forwarding/retry_delay.ts
@@ -1,19 +1,20 @@
 import type * as common from "@geraniumkeel/common";
 
 /**
- * Parts of a caller's remaining patience after which it is told to come back.
- * When a group loses a rank all its runners refuse for one to three seconds; a
- * caller that comes back sooner is refused again and has used up its one retry.
- * Callers wait a third of their patience at most, and an answer after a refusal
- * is late whenever it comes, so waiting longer costs them nothing. Spread over a
- * range, so that the rush is not repeated as one.
+ * Range of the retry delay, as fractions of the caller's remaining time. When a
+ * group loses a rank, all its runners refuse requests for one to three seconds;
+ * a caller that retries sooner is refused again and has used up its one retry.
+ * Callers wait at most a third of their timeout before they retry, and an
+ * answer after a refusal is late in any case, so a longer delay costs them
+ * nothing. The delays are spread over a range so that the callers do not all
+ * retry at once.
  */
 const MIN_DELAY_FRACTION = 0.2;
 const MAX_DELAY_FRACTION = 0.32;
-/** Shortest time that is told, in milliseconds. */
+/** Lower bound of the retry delay. */
 const MIN_DELAY_MILLISECONDS = 250;
 
-/** When a caller that is refused for want of a runner is to come back. */
+/** Delay after which a caller that found no runner should retry. */
 export function retryDelayMilliseconds(
   millisecondsLeft: number,
   random: common.Random,
--- a/packages/daemon/src/forwarding/runner_attempt.ts
+++ b/packages/daemon/src/forwarding/runner_attempt.ts
@@ -8,15 +8,16 @@
 import * as runnerCaller from "./runner_caller.ts";
 import * as urgencyAtRunner from "./urgency_at_runner.ts";
 
-/** How often it is looked whether an attempt gets on, in milliseconds. */
+/** How often an attempt is checked for progress. */
 const STALL_CHECK_INTERVAL_MILLISECONDS = 150;
 /**
- * How many times its objective an idempotent request waits for a whole answer
- * before another runner is tried: nine in ten answers come within a third of it.
+ * How long an attempt waits for a complete answer, in multiples of the route's
+ * objective, before an idempotent request is sent to another runner. Nine in
+ * ten answers arrive within a third of that time.
  */
 const MAX_WAIT_OBJECTIVES = 1.5;
 
-/** One attempt at one runner. */
+/** What an attempt at a runner needs. */
 export interface RunnerAttemptParameters {
   runner: traffic.RunnerEntry;
   request: callerRequest.CallerRequest;
@@ -24,29 +25,31 @@
   route: traffic.Route;
   account: traffic.Account | undefined;
   clock: requestClock.RequestClock;
-  /** Milliseconds that the caller has spent on earlier tries of its own. */
+  /**
+   * Estimated milliseconds that the caller spent on earlier tries of its own.
+   */
   spentBefore: number;
   tracker: runnerTracker.RunnerTracker;
   caller: runnerCaller.RunnerCaller;
   relay: answerRelay.AnswerRelay;
-  /** Aborts with the end that the request gives its attempt. */
+  /** Cancels the attempt; its reason is the attempt's outcome. */
   cancel: AbortSignal;
-  /** Whether another runner may be tried in place of waiting on. */
+  /** Whether the attempt may be abandoned for another runner. */
   mayTryAnother: () => boolean;
-  /** Told of each answer that a runner begins. */
+  /** Called when a runner begins an answer. */
   onAnswerStart: (runner: traffic.RunnerEntry) => void;
 }
 
-/** Calls one runner and passes its answer on. */
+/** One attempt at a request: calls one runner and relays its answer. */
 export class RunnerAttempt {
   readonly startedAt = common.now();
   readonly #stallCancel = new AbortController();
-  /** When it last got on. */
+  /** When the last part of the answer arrived, or the attempt started. */
   #progressAt = this.startedAt;
 
   constructor(readonly parameters: RunnerAttemptParameters) {}
 
-  /** Runs to the end of the attempt. */
+  /** Makes the attempt and returns its outcome. */
   async run(): Promise<attemptOutcome.AttemptOutcome> {
     const { tracker, runner } = this.parameters;
     const finishCall = tracker.startCall(runner.identifier);
@@ -60,7 +63,7 @@
     return outcome;
   }
 
-  /** Something of the answer has come. */
+  /** Notes that a part of the answer has arrived. */
   noteProgress(): void {
     const { tracker, runner } = this.parameters;
     this.#progressAt = common.now();
@@ -74,7 +77,8 @@
       case traffic.AnswerForm.Whole:
         return waited > route.objectiveMilliseconds * MAX_WAIT_OBJECTIVES;
       case traffic.AnswerForm.Events:
-        // Waiting its turn at a runner that gets on is no stall.
+        // A request that waits in the queue of a runner that makes progress has
+        // not stalled.
         return tracker.isStalled(runner.identifier);
     }
   }
@@ -115,7 +119,7 @@
         tracker.removeReplaced(runner);
         return {
           kind: attemptOutcome.AttemptOutcomeKind.NotRun,
-          reason: "another runner there",
+          reason: "another runner has the address",
         };
       case runnerCaller.Verdict.NotRun:
         tracker.noteRefusal(runner.identifier);
@@ -176,7 +180,7 @@
     }
   }
 
-  /** Why this side ended the call, if it did. */
+  /** Outcome if this entry cancelled the attempt, else `undefined`. */
   #cancelledOutcome(): attemptOutcome.AttemptOutcome | undefined {
     const { sink, cancel } = this.parameters;
     const cancelled = attemptOutcome.cancelledOutcome(
@@ -186,7 +190,7 @@
     if (cancelled || !this.#stallCancel.signal.aborted) return cancelled;
     return {
       kind: attemptOutcome.AttemptOutcomeKind.Stalled,
-      reason: "did not get on",
+      reason: "runner made no progress on the request",
     };
   }
 }
--- a/packages/daemon/src/forwarding/runner_caller.ts
+++ b/packages/daemon/src/forwarding/runner_caller.ts
@@ -3,7 +3,7 @@
 import type * as traffic from "@geraniumkeel/traffic";
 import type * as callerRequest from "./caller_request.ts";
 
-/** What is told to a runner beside the caller's own request. */
+/** What a runner receives with a caller's request. */
 export interface RunnerCall {
   request: callerRequest.CallerRequest;
   runner: traffic.RunnerEntry;
@@ -12,49 +12,59 @@
   /** Account of the caller; empty if the request needed no key. */
   account: string;
   urgency: number;
-  /** Event after which a stream is to go on; empty for the beginning. */
+  /**
+   * Number of the event after which a stream continues; empty to start from the
+   * beginning.
+   */
   resumeAfter: string;
-  /** Ends the call; the runner then drops the request. */
+  /** Aborts the call; the runner then drops the request. */
   signal: AbortSignal;
 }
 
-/** What a runner's answer says of the request. */
+/** What a runner's answer says about the request. */
 export enum Verdict {
-  /** The runner ran it to a good end, or is doing so. */
+  /** The runner ran the request successfully, or is running it. */
   Ran = "ran",
-  /** The runner ran it and it failed. */
+  /** The runner ran the request, and it failed. */
   Failed = "failed",
-  /** The runner certainly did not run it: it had no room or is leaving. */
+  /**
+   * The runner certainly did not run the request: it had no room or is leaving.
+   */
   NotRun = "not-run",
-  /** Another runner has the address now; it was not run. */
+  /** Another runner now has the address; the request was not run. */
   WrongRunner = "wrong-runner",
 }
 
-/** A runner's answer, its body still to come. */
+/** Head of a runner's answer, with the body still to be read. */
 export interface RunnerAnswer {
   verdict: Verdict;
   head: callerRequest.AnswerHead;
-  /** Whether the answer's origin is proved, so that it counts as a success. */
+  /**
+   * Whether a signature proves that the answer comes from the runner. Only then
+   * does it count as a success.
+   */
   signed: boolean;
   /**
-   * The body as it comes. It throws a `BrokenAnswer` if the connection ends
+   * The body as it arrives. Throws a `TruncatedBody` if the connection ends
    * before the body does.
    */
   body: AsyncIterable<Buffer>;
 }
 
-/** A body that ended before its end. */
+/** A body that ended early. */
 export class TruncatedBody extends Error {}
 
-/** Whether a call that failed may have run. */
+/** Whether a request may have run although its call failed. */
 export enum CallFailureKind {
   /** No connection was made, so nothing was sent. */
   NotSent = "not-sent",
-  /** No answer, or one that cannot be trusted; it may have run. */
+  /**
+   * There was no answer, or none that can be trusted; the request may have run.
+   */
   Unknown = "unknown",
 }
 
-/** A call without an answer. */
+/** A call that got no answer. */
 export interface CallFailure {
   kind: CallFailureKind;
   reason: string;
@@ -63,6 +73,9 @@
 /** Sends requests to runners. */
 export interface RunnerCaller {
   call(call: RunnerCall): Promise<neverthrow.Result<RunnerAnswer, CallFailure>>;
-  /** Looks what is at a runner's address; the runner itself is asked nothing. */
+  /**
+   * Checks whether anything accepts connections at a runner's address, without
+   * sending a request.
+   */
   presenceOf(runner: traffic.RunnerEntry): Promise<common.Presence>;
 }
--- a/packages/daemon/src/forwarding/runner_tracker.ts
+++ b/packages/daemon/src/forwarding/runner_tracker.ts
@@ -4,78 +4,96 @@
 import * as departedIncarnations from "./departed_incarnations.ts";
 import * as outstandingElsewhere from "./outstanding_elsewhere.ts";
 
-/** How a call went, as far as it tells of the runner. */
+/**
+ * Outcome of a call, as far as it says something about the health of the
+ * runner.
+ */
 export enum CallOutcome {
   Success = "good",
-  /** It had no room, or the caller left: nothing is wrong with it. */
+  /**
+   * The runner had no room, or the caller disconnected: says nothing about
+   * health.
+   */
   Neutral = "neutral",
-  /** It failed, broke off or was slow beyond reason. */
+  /**
+   * The runner failed the request, its answer stopped early, or it was too
+   * slow.
+   */
   Failure = "bad",
 }
 
 /**
- * Weight of the newest answer in a runner's share of failures. A runner that
- * fails two in five is seen after four or five answers.
+ * Weight of the newest answer in a runner's failure share. With it, a runner
+ * that fails two in five requests is noticed after four or five answers.
  */
 const NEWEST_ANSWER_WEIGHT = 0.2;
-/** How long a runner without an answer is spared, in milliseconds. */
+/** How long a runner that could not be connected to is suspended. */
 const SUSPENSION_MILLISECONDS = 700;
-/** Time in which the share of failures halves without answers. */
+/** Time in which the failure share halves if no answers arrive. */
 const FAILURE_HALF_LIFE_MILLISECONDS = 2_000;
 
 /**
- * Silence of a runner with requests under way after which it counts as stalled.
- * All ranks of a group make passes together, 25 to 100 ms each, and with every
- * pass some request there gets its next event; when one rank is lost all stand
- * still and say nothing for one to two seconds.
+ * Time without a message after which a runner with requests in progress counts
+ * as stalled. All ranks of a group run each iteration together, in 25 to 100
+ * ms, and with every iteration some request there gets its next event. When one
+ * rank is lost, all ranks of the group stop and send nothing for one to two
+ * seconds.
  */
 const STALL_TIMEOUT_MILLISECONDS = 600;
 
 /**
- * Time for which a runner that turned a request away, although it had room, gets
- * none, in milliseconds. Its group has lost a rank and is being formed anew, for
- * half a second and more, and turns away whatever it is sent.
+ * How long a runner that refused a request although it had room gets no further
+ * requests. Its group has lost a rank and is being re-formed. That takes half a
+ * second or more, and the runner refuses all requests until then.
  */
 const REFUSAL_PAUSE_MILLISECONDS = 250;
 /**
- * Time between two requests sent to see whether a service takes work again while
- * all its runners are closed. Each that is turned away counts against the repeats
- * allowed; an entry sends ten a second, whatever number of requests wait.
+ * Time between two requests sent as probes to a service all of whose runners
+ * refuse requests although they have room. Each refused probe uses up retry
+ * budget; an entry sends ten a second, however many requests wait.
  */
 const PROBE_INTERVAL_MILLISECONDS = 100;
 
-/** What is known of one runner. */
+/** What this entry knows about one runner. */
 class RunnerRecord {
+  /** Requests in progress from this entry. */
   own = 0;
-  /** When anything was last heard of a request there, or the first one was sent. */
+  /**
+   * When the last message for a request there arrived, or, if that is later,
+   * when a request was sent to the runner while it had none from this entry.
+   */
   progressAt = 0;
-  /** When anything was last heard of a request there. */
+  /** When the last message for a request there arrived. */
   lastReceivedAt = -Infinity;
   failureShare = 0;
   failureShareUpdatedAt = 0;
   suspendedUntil = 0;
-  /** It turned a request away with room to spare, and took none since. */
+  /**
+   * The runner refused a request although it had room, and has accepted none
+   * since.
+   */
   refusing = false;
+  /** Until when a refusing runner gets no probe. */
   avoidUntil = 0;
 
   constructor(public entry: traffic.RunnerEntry) {}
 
-  /** Whether requests are under way and none of them gets on. */
+  /** Whether requests are in progress and none of them makes progress. */
   isStalled(now: number): boolean {
     return this.own > 0 && now - this.progressAt > STALL_TIMEOUT_MILLISECONDS;
   }
 
-  /** Whether it is to get no new work for the moment. */
+  /** Whether the runner should get no new requests for now. */
   isSuspended(now: number): boolean {
     return this.suspendedUntil > now || this.isStalled(now);
   }
 
-  /** Whether nothing was heard from it for as long as a stall takes to show. */
+  /** Whether the runner has sent nothing for the stall timeout. */
   isUnresponsive(now: number): boolean {
     return now - this.lastReceivedAt > STALL_TIMEOUT_MILLISECONDS;
   }
 
-  /** Part of its answers that failed; forgotten by and by. */
+  /** Share of the runner's answers that failed; decays over time. */
   currentFailureShare(now: number): number {
     const halvings =
       (now - this.failureShareUpdatedAt) / FAILURE_HALF_LIFE_MILLISECONDS;
@@ -83,43 +101,50 @@
   }
 }
 
-/** One runner, as operators see it. */
+/** State of one runner, as operators see it. */
 export interface TrackedRunner {
   identifier: string;
   service: string;
   dataCentre: string;
   leaving: boolean;
-  /** Requests under way from this entry, and from all. */
+  /** Requests in progress from this entry. */
   own: number;
+  /** Requests in progress from all entries. */
   outstanding: number;
-  /** Part of its latest answers that failed, 0 to 1. */
+  /** Share of the runner's recent answers that failed, 0 to 1. */
   failureShare: number;
-  /** It gets no new work for the moment. */
+  /** The runner is suspended: it gets no new requests for now. */
   spared: boolean;
 }
 
-/** All runners that take requests, with the load and soundness of each. */
+/**
+ * Tracks all listed runners: the load of each, its failures and its progress.
+ * Chooses the runner for each request.
+ */
 export class RunnerTracker {
   readonly #records = new Map<string, RunnerRecord>();
-  /** Listed runners that are gone from their addresses, each life of them. */
+  /** Incarnations still listed although another runner has their address. */
   #replacedIncarnations = new Set<string>();
   readonly #departed = new departedIncarnations.DepartedIncarnations();
   readonly #otherEntries = new outstandingElsewhere.OutstandingElsewhere();
-  /** When the next request may be sent to a service that is closed. */
+  /**
+   * When the next probe may be sent to each service whose runners refuse
+   * requests.
+   */
   readonly #nextProbeAt = new Map<string, number>();
-  /** Announces that some runner may take work that did not before. */
+  /** Announces that a runner may accept requests that did not before. */
   readonly availabilityChanged = new common.ChangeNotice();
 
   constructor(
     readonly parameters: {
       dataCentre: string;
       random: common.Random;
-      /** Whether the runners of a service advance in lock-step, in groups. */
+      /** Whether the runners of a service run in lock-step, in groups. */
       inLockStep: (service: string) => boolean;
     },
   ) {}
 
-  /** Takes a new list; runners that are not in it get nothing more. */
+  /** Applies a new list; runners that are not in it get no further requests. */
   update(list: traffic.RunnerList): void {
     const listed = new Set<string>();
     const stillListed = new Set<string>();
@@ -130,7 +155,8 @@
       }
       listed.add(entry.identifier);
       const record = this.#records.get(entry.identifier);
-      // One that started anew has none of the faults and requests of before.
+      // A new incarnation starts without the failures and requests of the old
+      // one.
       if (record?.entry.bornAt === entry.bornAt) record.entry = entry;
       else this.#records.set(entry.identifier, new RunnerRecord(entry));
     }
@@ -141,12 +167,15 @@
     }
   }
 
-  /** Takes the counts of another entry; `undefined` when it is gone. */
+  /**
+   * Replaces the request counts of another entry; `undefined` when that entry
+   * is disconnected.
+   */
   setCountsOf(host: string, counts: Map<string, number> | undefined): void {
     this.#otherEntries.setCountsOf(host, counts);
   }
 
-  /** Requests under way from this entry, by runner; only runners with any. */
+  /** Requests in progress from this entry, by runner; only runners with any. */
   ownCounts(): [string, number][] {
     const counts: [string, number][] = [];
     for (const [identifier, { own }] of this.#records) {
@@ -155,7 +184,7 @@
     return counts;
   }
 
-  /** Runners of a service that take requests. */
+  /** Runners of a service that may get a request, without those in `tried`. */
   candidates(
     service: string,
     tried: ReadonlySet<string>,
@@ -183,10 +212,11 @@
   }
 
   /**
-   * Whether a runner whose ranks advance in lock-step with others' has stalled: all of
-   * its group have. One without requests from here does not show it, and looked like
-   * the way out: when a group stood still for 0.9 s, streams were given up at all its
-   * runners and went to the one whose host was frozen, where they were never answered.
+   * Whether a runner of a service in lock-step has stalled. Then all runners of
+   * its group have, but those without requests from this entry do not show it,
+   * and would look like alternatives. Without this check, when a group stood
+   * still for 0.9 s, entries abandoned the streams at all its runners and sent
+   * them to the runner on the frozen host, which never answered them.
    */
   #isGroupStalled(service: string, now: number): boolean {
     if (!this.parameters.inLockStep(service)) return false;
@@ -197,7 +227,9 @@
     return false;
   }
 
-  /** The runner for a request, or `undefined` if there is none left to try. */
+  /**
+   * Chooses the runner for a request; `undefined` if there is none to try now.
+   */
   choose(
     service: string,
     tried: ReadonlySet<string>,
@@ -210,14 +242,14 @@
     return record.entry;
   }
 
-  /** Whether this life of a runner is listed, and not as leaving. */
+  /** Whether this incarnation of a runner is listed, and not as leaving. */
   inUse(runner: traffic.RunnerEntry): boolean {
     const entry = this.#records.get(runner.identifier)?.entry;
     if (!entry || entry.leaving) return false;
     return traffic.lifeOf(entry) === traffic.lifeOf(runner);
   }
 
-  /** Versions of the runners of a service that take requests. */
+  /** Versions of the runners of a service that are not leaving. */
   versionsOf(service: string): Set<string> {
     const versions = new Set<string>();
     for (const { entry } of this.#records.values()) {
@@ -228,15 +260,18 @@
     return versions;
   }
 
-  /** Whether some runner of a service turns away what it has room for. */
+  /** Whether a runner of a service refuses requests although it has room. */
   hasRefusing(service: string): boolean {
-    for (const { entry, refusing: closed } of this.#records.values()) {
-      if (closed && entry.service === service && !entry.leaving) return true;
+    for (const { entry, refusing } of this.#records.values()) {
+      if (refusing && entry.service === service && !entry.leaving) return true;
     }
     return false;
   }
 
-  /** A runner turned a request away. */
+  /**
+   * Notes that a runner refused a request. Ignored if its slots are full: a
+   * refusal is normal then.
+   */
   noteRefusal(identifier: string): void {
     const record = this.#records.get(identifier);
     if (!record) return;
@@ -246,7 +281,10 @@
     record.avoidUntil = common.now() + REFUSAL_PAUSE_MILLISECONDS;
   }
 
-  /** One request is sent to see whether a closed runner takes work again. */
+  /**
+   * Whether a request may be sent to find out if a refusing runner accepts
+   * requests again. If so, reserves this probe.
+   */
   #startProbe(record: RunnerRecord): boolean {
     const now = common.now();
     const { service } = record.entry;
@@ -256,7 +294,10 @@
     return true;
   }
 
-  /** Notes a call to a runner; the returned function notes its end. */
+  /**
+   * Notes that a call to a runner starts; the returned function notes its
+   * outcome.
+   */
   startCall(identifier: string): (outcome: CallOutcome) => void {
     const record = this.#records.get(identifier);
     if (!record) return () => {};
@@ -268,7 +309,7 @@
     };
   }
 
-  /** Something was heard of a request at a runner. */
+  /** Notes that a message for a request arrived from a runner. */
   noteProgress(identifier: string): void {
     const record = this.#records.get(identifier);
     if (!record) return;
@@ -280,11 +321,13 @@
   }
 
   /**
-   * Takes a runner that gets on for open again, and with it all that advance in
-   * lock-step with it. A group takes work as a whole; found out rank by rank, with a
-   * request each tenth of a second, each entry left most of twelve ranks alone for
-   * another second while the backlog of an outage waited. One of another group that is
-   * not formed yet turns the next request away, and is closed again.
+   * Notes that a runner accepts requests again, and with it all runners of its
+   * service if these run in lock-step. A group starts to accept requests on all
+   * ranks at the same time. If entries probed rank by rank, with a request each
+   * tenth of a second, each entry would leave most of twelve ranks without
+   * requests for another second while the backlog of an outage waits. A runner
+   * of another group that is not re-formed yet refuses the next request, and is
+   * avoided again.
    */
   #endRefusal(accepting: RunnerRecord): void {
     const { service } = accepting.entry;
@@ -295,25 +338,30 @@
     }
   }
 
-  /** Whether requests are under way at a runner and none of them gets on. */
+  /**
+   * Whether a runner has requests in progress and none of them makes progress.
+   */
   isStalled(identifier: string): boolean {
     return this.#records.get(identifier)?.isStalled(common.now()) ?? false;
   }
 
-  /** Whether nothing has come from a runner lately. */
+  /**
+   * Whether a runner has sent nothing for the stall timeout; true if not
+   * listed.
+   */
   isUnresponsive(identifier: string): boolean {
     return this.#records.get(identifier)?.isUnresponsive(common.now()) ?? true;
   }
 
-  /** A runner at which nothing progresses gets no new work for a while. */
+  /** Stops sending new requests to a runner for a while. */
   suspend(identifier: string): void {
     const record = this.#records.get(identifier);
     if (record) record.suspendedUntil = common.now() + SUSPENSION_MILLISECONDS;
   }
 
   /**
-   * Another runner answers at the address of this one. It may stay listed for
-   * seconds, and gets no more for as long.
+   * Removes an incarnation whose address another runner has now. It may stay
+   * listed for seconds, and gets no further requests during that time.
    */
   removeReplaced(runner: traffic.RunnerEntry): void {
     this.#replacedIncarnations.add(traffic.lifeOf(runner));
--- a/packages/daemon/src/forwarding/timeout_history.ts
+++ b/packages/daemon/src/forwarding/timeout_history.ts
@@ -1,26 +1,34 @@
 import * as common from "@geraniumkeel/common";
 
 /**
- * Time for which the longest patience is remembered, in milliseconds. Callers of
- * one account ask for a route several times a minute; patience that was shortened
- * for good is taken for the usual one after two such times.
+ * Time for which the longest timeout is remembered. Callers of one account use
+ * a route several times a minute. Timeouts that become shorter for good count
+ * as the usual ones after twice this time.
  */
 const WINDOW_MILLISECONDS = 30_000;
-/** Routes and accounts remembered at most: 20 bytes of key each, a megabyte. */
+/**
+ * Maximum number of pairs of route and account that are remembered. At 20 bytes
+ * a key they take a megabyte.
+ */
 const MAX_KEYS = 20_000;
 
 /**
- * How long the callers of each account wait on each route. A caller that comes back
- * after a refusal or a broken connection is a new request to us, but its patience is
- * shorter by the time it has spent: that tells how old its wish is. For the seconds
- * after an outage, when those that come back and those that come first meet.
+ * Remembers the longest timeout with which the callers of each account used
+ * each route. A caller that retries after a refusal or a broken connection
+ * sends a new request, but with a timeout that is shorter by the time it has
+ * spent already. The difference shows how long the caller has been waiting.
+ * This matters in the seconds after an outage, when retries and first tries
+ * arrive together.
  */
 export class TimeoutHistory {
   #longestTimeouts = new Map<string, number>();
   #previousLongestTimeouts = new Map<string, number>();
   #windowStartedAt = common.now();
 
-  /** Time in milliseconds that a caller has spent before it came here. */
+  /**
+   * Estimates the milliseconds that a caller spent on earlier tries: the usual
+   * timeout of its account on the route, minus the timeout of this request.
+   */
   spentBefore(parameters: {
     route: string;
     account: string;
--- a/packages/daemon/src/forwarding/urgency_at_runner.ts
+++ b/packages/daemon/src/forwarding/urgency_at_runner.ts
@@ -1,18 +1,23 @@
-/** How much less urgent a request is that will be late whatever happens. */
+/**
+ * Added to the urgency of a request that will be late in any case; a higher
+ * number is less urgent.
+ */
 const LATE_DEMOTION = 3;
-/** Least urgent that a runner knows. */
+/** Number of the lowest urgency that runners support. */
 const LOWEST_URGENCY = 9;
 /**
- * Part of its objective that a request may have spent here and still be in time:
- * the rest is what an answer's first event takes at a runner with room.
+ * Fraction of its objective that a request may have spent at this entry and
+ * still be in time. A runner with room needs the rest for the first event of an
+ * answer.
  */
 const MAX_ELAPSED_FRACTION = 0.6;
 
 /**
- * The urgency that a runner is told. After an outage a second's worth of requests
- * waits and goes to the runners at once. All of these are late; in order of
- * arrival they would make those late that come after them too, for as long as the
- * backlog lasts. Told as less urgent they are read when there is room.
+ * Returns the urgency to send to a runner. After an outage a second's worth of
+ * requests waits and goes to the runners at the same time. All of them are
+ * late; in order of arrival they would make later requests late too, until the
+ * backlog is gone. With a lower urgency, runners process them when they have
+ * room.
  */
 export function urgencyAtRunner(parameters: {
   urgency: number;
