--- a/packages/daemon/src/gateway/operator_view.ts
+++ b/packages/daemon/src/gateway/operator_view.ts
@@ -44,11 +44,7 @@
   if (method === "DELETE" && path.startsWith(QUARANTINE_PATH)) {
     return liftQuarantine(gateway, path.slice(QUARANTINE_PATH.length));
   }
-  if (method !== "GET")
-    return refusal(
-      405,
-      "this entry accepts only GET, and DELETE of a quarantine",
-    );
+  if (method !== "GET") return refusal(405, "this entry is read only");
   switch (path) {
     case "/admin/v1/quarantine":
       return jsonAnswer(gateway.quarantine.cases());
