--- /dev/null
+++ b/packages/daemon/src/forwarding/departed_incarnations.ts
@@ -0,0 +1,38 @@
+import * as common from "@geraniumkeel/common";
+import * as traffic from "@geraniumkeel/traffic";
+
+/** How long a departed incarnation is remembered. */
+const RETENTION_MILLISECONDS = 60_000;
+
+/**
+ * Incarnations of runners that were once listed as leaving. A list made from
+ * older rows says that such a runner is ready; without this record it would get
+ * new requests shortly before it stops.
+ */
+export class DepartedIncarnations {
+  readonly #lastListedAt = new Map<string, number>();
+
+  /**
+   * Returns the runners of a list, each marked as leaving if its incarnation
+   * was ever listed as leaving.
+   */
+  apply(runners: readonly traffic.RunnerEntry[]): traffic.RunnerEntry[] {
+    const now = common.now();
+    const applied = runners.map((runner) => this.#applyTo(runner, now));
+    for (const [incarnation, lastListedAt] of this.#lastListedAt) {
+      if (now - lastListedAt > RETENTION_MILLISECONDS)
+        this.#lastListedAt.delete(incarnation);
+    }
+    return applied;
+  }
+
+  #applyTo(runner: traffic.RunnerEntry, now: number): traffic.RunnerEntry {
+    const incarnation = traffic.incarnationOf(runner);
+    if (runner.leaving) {
+      this.#lastListedAt.set(incarnation, now);
+      return runner;
+    }
+    if (!this.#lastListedAt.has(incarnation)) return runner;
+    return { ...runner, leaving: true };
+  }
+}
--- /dev/null
+++ b/packages/daemon/src/forwarding/runner_tracker.ts
@@ -0,0 +1,401 @@
+import * as common from "@geraniumkeel/common";
+import * as traffic from "@geraniumkeel/traffic";
+import * as chooseRunner from "./choose_runner.ts";
+import * as departedIncarnations from "./departed_incarnations.ts";
+import * as outstandingElsewhere from "./outstanding_elsewhere.ts";
+
+/**
+ * Outcome of a call, as far as it says something about the health of the
+ * runner.
+ */
+export enum CallOutcome {
+  Success = "good",
+  /**
+   * The runner had no room, or the caller disconnected: says nothing about
+   * health.
+   */
+  Neutral = "neutral",
+  /**
+   * The runner failed the request, its answer stopped early, or it was too
+   * slow.
+   */
+  Failure = "bad",
+}
+
+/**
+ * Weight of the newest answer in a runner's failure share. With it, a runner
+ * that fails two in five requests is noticed after four or five answers.
+ */
+const NEWEST_ANSWER_WEIGHT = 0.2;
+/** How long a runner that could not be connected to is suspended. */
+const SUSPENSION_MILLISECONDS = 700;
+/** Time in which the failure share halves if no answers arrive. */
+const FAILURE_HALF_LIFE_MILLISECONDS = 2_000;
+
+/**
+ * Time without a message after which a runner with requests in progress counts
+ * as stalled. All ranks of a group run each iteration together, in 25 to 100
+ * ms, and with every iteration some request there gets its next event. When one
+ * rank is lost, all ranks of the group stop and send nothing for one to two
+ * seconds.
+ */
+const STALL_TIMEOUT_MILLISECONDS = 600;
+
+/**
+ * How long a runner that refused a request although it had room gets no further
+ * requests. Its group has lost a rank and is being re-formed. That takes half a
+ * second or more, and the runner refuses all requests until then.
+ */
+const REFUSAL_PAUSE_MILLISECONDS = 250;
+/**
+ * Time between two requests sent as probes to a service all of whose runners
+ * refuse requests although they have room. Each refused probe uses up retry
+ * budget; an entry sends ten a second, however many requests wait.
+ */
+const PROBE_INTERVAL_MILLISECONDS = 100;
+
+/** What this entry knows about one runner. */
+class RunnerRecord {
+  /** Requests in progress from this entry. */
+  own = 0;
+  /**
+   * When the last message for a request there arrived, or, if that is later,
+   * when a request was sent to the runner while it had none from this entry.
+   */
+  progressAt = 0;
+  /** When the last message for a request there arrived. */
+  lastReceivedAt = -Infinity;
+  failureShare = 0;
+  failureShareUpdatedAt = 0;
+  suspendedUntil = 0;
+  /**
+   * The runner refused a request although it had room, and has accepted none
+   * since.
+   */
+  refusing = false;
+  /** Until when a refusing runner gets no probe. */
+  avoidUntil = 0;
+
+  constructor(public entry: traffic.RunnerEntry) {}
+
+  /** Whether requests are in progress and none of them makes progress. */
+  isStalled(now: number): boolean {
+    return this.own > 0 && now - this.progressAt > STALL_TIMEOUT_MILLISECONDS;
+  }
+
+  /** Whether the runner should get no new requests for now. */
+  isSuspended(now: number): boolean {
+    return this.suspendedUntil > now || this.isStalled(now);
+  }
+
+  /** Whether the runner has sent nothing for the stall timeout. */
+  isUnresponsive(now: number): boolean {
+    return now - this.lastReceivedAt > STALL_TIMEOUT_MILLISECONDS;
+  }
+
+  /** Share of the runner's answers that failed; decays over time. */
+  currentFailureShare(now: number): number {
+    const halvings =
+      (now - this.failureShareUpdatedAt) / FAILURE_HALF_LIFE_MILLISECONDS;
+    return this.failureShare * 0.5 ** halvings;
+  }
+}
+
+/** State of one runner, as operators see it. */
+export interface TrackedRunner {
+  identifier: string;
+  service: string;
+  dataCentre: string;
+  leaving: boolean;
+  /** Requests in progress from this entry. */
+  own: number;
+  /** Requests in progress from all entries. */
+  outstanding: number;
+  /** Share of the runner's recent answers that failed, 0 to 1. */
+  failureShare: number;
+  /** The runner is suspended: it gets no new requests for now. */
+  spared: boolean;
+}
+
+/**
+ * Tracks all listed runners: the load of each, its failures and its progress.
+ * Chooses the runner for each request.
+ */
+export class RunnerTracker {
+  readonly #records = new Map<string, RunnerRecord>();
+  /** Incarnations still listed although another runner has their address. */
+  #replacedIncarnations = new Set<string>();
+  readonly #departed = new departedIncarnations.DepartedIncarnations();
+  readonly #otherEntries = new outstandingElsewhere.OutstandingElsewhere();
+  /**
+   * When the next probe may be sent to each service whose runners refuse
+   * requests.
+   */
+  readonly #nextProbeAt = new Map<string, number>();
+  /** Announces that a runner may accept requests that did not before. */
+  readonly availabilityChanged = new common.ChangeNotice();
+
+  constructor(
+    readonly parameters: {
+      dataCentre: string;
+      random: common.Random;
+      /** Whether the runners of a service run in lock-step, in groups. */
+      inLockStep: (service: string) => boolean;
+    },
+  ) {}
+
+  /** Applies a new list; runners that are not in it get no further requests. */
+  update(list: traffic.RunnerList): void {
+    const listed = new Set<string>();
+    const stillListed = new Set<string>();
+    for (const entry of this.#departed.apply(list.runners)) {
+      if (this.#replacedIncarnations.has(traffic.incarnationOf(entry))) {
+        stillListed.add(traffic.incarnationOf(entry));
+        continue;
+      }
+      listed.add(entry.identifier);
+      const record = this.#records.get(entry.identifier);
+      // A new incarnation starts without the failures and requests of the old
+      // one.
+      if (record?.entry.bornAt === entry.bornAt) record.entry = entry;
+      else this.#records.set(entry.identifier, new RunnerRecord(entry));
+    }
+    this.#replacedIncarnations = stillListed;
+    this.availabilityChanged.announce();
+    for (const identifier of this.#records.keys()) {
+      if (!listed.has(identifier)) this.#records.delete(identifier);
+    }
+  }
+
+  /**
+   * Replaces the request counts of another entry; `undefined` when that entry
+   * is disconnected.
+   */
+  setCountsOf(host: string, counts: Map<string, number> | undefined): void {
+    this.#otherEntries.setCountsOf(host, counts);
+  }
+
+  /** Requests in progress from this entry, by runner; only runners with any. */
+  ownCounts(): [string, number][] {
+    const counts: [string, number][] = [];
+    for (const [identifier, { own }] of this.#records) {
+      if (own > 0) counts.push([identifier, own]);
+    }
+    return counts;
+  }
+
+  /** Runners of a service that may get a request, without those in `tried`. */
+  candidates(
+    service: string,
+    tried: ReadonlySet<string>,
+  ): chooseRunner.RunnerView[] {
+    const now = common.now();
+    const groupStalled = this.#isGroupStalled(service, now);
+    const views: chooseRunner.RunnerView[] = [];
+    for (const [identifier, record] of this.#records) {
+      const { entry } = record;
+      if (entry.service !== service || entry.leaving) continue;
+      if (tried.has(identifier)) continue;
+      if (record.refusing && now < record.avoidUntil) continue;
+      views.push({
+        identifier,
+        outstanding: record.own + this.#otherEntries.countAt(identifier),
+        slots: entry.slots,
+        sameDataCentre: entry.dataCentre === this.parameters.dataCentre,
+        failureShare: record.currentFailureShare(now),
+        suspended:
+          record.isSuspended(now) ||
+          (groupStalled && record.isUnresponsive(now)),
+      });
+    }
+    return views;
+  }
+
+  /**
+   * Whether a runner of a service in lock-step has stalled. Then all runners of
+   * its group have, but those without requests from this entry do not show it,
+   * and would look like alternatives. Without this check, when a group stood
+   * still for 0.9 s, entries abandoned the streams at all its runners and sent
+   * them to the runner on the frozen host, which never answered them.
+   */
+  #isGroupStalled(service: string, now: number): boolean {
+    if (!this.parameters.inLockStep(service)) return false;
+    for (const record of this.#records.values()) {
+      if (record.entry.service === service && record.isStalled(now))
+        return true;
+    }
+    return false;
+  }
+
+  /**
+   * Chooses the runner for a request; `undefined` if there is none to try now.
+   */
+  choose(
+    service: string,
+    tried: ReadonlySet<string>,
+  ): traffic.RunnerEntry | undefined {
+    const views = this.candidates(service, tried);
+    const chosen = chooseRunner.chooseRunner(views, this.parameters.random);
+    const record = chosen && this.#records.get(chosen.identifier);
+    if (!record) return undefined;
+    if (record.refusing && !this.#startProbe(record)) return undefined;
+    return record.entry;
+  }
+
+  /** Whether this incarnation of a runner is listed, and not as leaving. */
+  inUse(runner: traffic.RunnerEntry): boolean {
+    const entry = this.#records.get(runner.identifier)?.entry;
+    if (!entry || entry.leaving) return false;
+    return traffic.incarnationOf(entry) === traffic.incarnationOf(runner);
+  }
+
+  /** Versions of the runners of a service that are not leaving. */
+  versionsOf(service: string): Set<string> {
+    const versions = new Set<string>();
+    for (const { entry } of this.#records.values()) {
+      if (entry.service === service && !entry.leaving) {
+        versions.add(entry.version);
+      }
+    }
+    return versions;
+  }
+
+  /** Whether a runner of a service refuses requests although it has room. */
+  hasRefusing(service: string): boolean {
+    for (const { entry, refusing } of this.#records.values()) {
+      if (refusing && entry.service === service && !entry.leaving) return true;
+    }
+    return false;
+  }
+
+  /**
+   * Notes that a runner refused a request. Ignored if its slots are full: a
+   * refusal is normal then.
+   */
+  noteRefusal(identifier: string): void {
+    const record = this.#records.get(identifier);
+    if (!record) return;
+    const load = record.own + this.#otherEntries.countAt(identifier);
+    if (load > record.entry.slots) return;
+    record.refusing = true;
+    record.avoidUntil = common.now() + REFUSAL_PAUSE_MILLISECONDS;
+  }
+
+  /**
+   * Whether a request may be sent to find out if a refusing runner accepts
+   * requests again. If so, reserves this probe.
+   */
+  #startProbe(record: RunnerRecord): boolean {
+    const now = common.now();
+    const { service } = record.entry;
+    if (now < (this.#nextProbeAt.get(service) ?? 0)) return false;
+    this.#nextProbeAt.set(service, now + PROBE_INTERVAL_MILLISECONDS);
+    record.avoidUntil = now + REFUSAL_PAUSE_MILLISECONDS;
+    return true;
+  }
+
+  /**
+   * Notes that a call to a runner starts; the returned function notes its
+   * outcome.
+   */
+  startCall(identifier: string): (outcome: CallOutcome) => void {
+    const record = this.#records.get(identifier);
+    if (!record) return () => {};
+    if (record.own === 0) record.progressAt = common.now();
+    record.own++;
+    return (outcome) => {
+      record.own--;
+      this.#recordOutcome(record, outcome);
+    };
+  }
+
+  /** Notes that a message for a request arrived from a runner. */
+  noteProgress(identifier: string): void {
+    const record = this.#records.get(identifier);
+    if (!record) return;
+    record.progressAt = common.now();
+    record.lastReceivedAt = record.progressAt;
+    if (!record.refusing) return;
+    this.#endRefusal(record);
+    this.availabilityChanged.announce();
+  }
+
+  /**
+   * Notes that a runner accepts requests again, and with it all runners of its
+   * service if these run in lock-step. A group starts to accept requests on all
+   * ranks at the same time. If entries probed rank by rank, with a request each
+   * tenth of a second, each entry would leave most of twelve ranks without
+   * requests for another second while the backlog of an outage waits. A runner
+   * of another group that is not re-formed yet refuses the next request, and is
+   * avoided again.
+   */
+  #endRefusal(accepting: RunnerRecord): void {
+    const { service } = accepting.entry;
+    accepting.refusing = false;
+    if (!this.parameters.inLockStep(service)) return;
+    for (const record of this.#records.values()) {
+      if (record.entry.service === service) record.refusing = false;
+    }
+  }
+
+  /**
+   * Whether a runner has requests in progress and none of them makes progress.
+   */
+  isStalled(identifier: string): boolean {
+    return this.#records.get(identifier)?.isStalled(common.now()) ?? false;
+  }
+
+  /**
+   * Whether a runner has sent nothing for the stall timeout; true if not
+   * listed.
+   */
+  isUnresponsive(identifier: string): boolean {
+    return this.#records.get(identifier)?.isUnresponsive(common.now()) ?? true;
+  }
+
+  /** Stops sending new requests to a runner for a while. */
+  suspend(identifier: string): void {
+    const record = this.#records.get(identifier);
+    if (record) record.suspendedUntil = common.now() + SUSPENSION_MILLISECONDS;
+  }
+
+  /**
+   * Removes an incarnation whose address another runner has now. It may stay
+   * listed for seconds, and gets no further requests during that time.
+   */
+  removeReplaced(runner: traffic.RunnerEntry): void {
+    this.#replacedIncarnations.add(traffic.incarnationOf(runner));
+    const record = this.#records.get(runner.identifier);
+    if (
+      record &&
+      traffic.incarnationOf(record.entry) === traffic.incarnationOf(runner)
+    ) {
+      this.#records.delete(runner.identifier);
+    }
+  }
+
+  /** All runners, for operators. */
+  runners(): TrackedRunner[] {
+    const now = common.now();
+    return [...this.#records].map(([identifier, record]) => ({
+      identifier,
+      service: record.entry.service,
+      dataCentre: record.entry.dataCentre,
+      leaving: record.entry.leaving,
+      own: record.own,
+      outstanding: record.own + this.#otherEntries.countAt(identifier),
+      failureShare: record.currentFailureShare(now),
+      spared: record.isSuspended(now),
+    }));
+  }
+
+  #recordOutcome(record: RunnerRecord, outcome: CallOutcome): void {
+    if (outcome === CallOutcome.Neutral) return;
+    const now = common.now();
+    const failed = outcome === CallOutcome.Failure ? 1 : 0;
+    const previousShare = record.currentFailureShare(now);
+    record.failureShare =
+      previousShare + NEWEST_ANSWER_WEIGHT * (failed - previousShare);
+    record.failureShareUpdatedAt = now;
+  }
+}
