--- a/packages/daemon/src/placement/full_repack.ts
+++ b/packages/daemon/src/placement/full_repack.ts
@@ -2,7 +2,7 @@
 
 /**
  * Baseline for comparison with `planPlacement`: places the experts of each
- * layer from scratch, whatever that costs in copies. Free slots go to the
+ * layer from scratch, however many copies that takes. Free slots go to the
  * experts with the most heavily loaded replicas. Replicas then go to the least
  * loaded ranks, the heaviest first (longest processing time first). Returns the
  * ranks of each expert by layer.
@@ -73,7 +73,10 @@
   return places;
 }
 
-/** Number of experts that ranks must load to change from one map to another. */
+/**
+ * Number of copies that a change from one placement to another needs: replicas
+ * at ranks that did not have the expert before.
+ */
 export function copiesBetween(
   before: number[][][],
   after: number[][][],
--- a/packages/daemon/src/placement/improve_layer.ts
+++ b/packages/daemon/src/placement/improve_layer.ts
@@ -22,7 +22,7 @@
   to: number;
   /** The second expert of a swap, or the displaced one; -1 if there is none. */
   other: number;
-  /** Number of experts that ranks must load for the change. */
+  /** Number of ranks that must receive a copy of an expert for the change. */
   copies: number;
   /**
    * Decrease of the highest load among the ranks concerned, divided by
@@ -46,13 +46,13 @@
  * Finds the change that relieves the rank with the highest load most for each
  * copy, without raising another rank to that load. Returns `undefined` if no
  * change gains more than `minGainPerCopy`, in the unit of load. Ranks for which
- * `mayLoad` returns false get no further expert.
+ * `mayReceiveCopy` returns false get no further expert.
  */
 export function bestChange(
   plan: layerPlan.LayerPlan,
   slots: number,
   minGainPerCopy: number,
-  mayLoad: (rank: number) => boolean = () => true,
+  mayReceiveCopy: (rank: number) => boolean = () => true,
 ): Change | undefined {
   const from = plan.mostLoadedRank;
   const peak = plan.rankLoad[from];
@@ -63,8 +63,10 @@
   let bestTo = -1;
   let bestOther = -1;
   let bestGain = Math.max(peak * MIN_GAIN_SHARE, minGainPerCopy);
-  const targets = plan.leastLoadedRanks(MAX_TARGET_RANKS).filter(mayLoad);
-  const maySwap = mayLoad(from);
+  const targets = plan
+    .leastLoadedRanks(MAX_TARGET_RANKS)
+    .filter(mayReceiveCopy);
+  const maySwap = mayReceiveCopy(from);
   for (const expert of plan.expertsOn[from]) {
     const ranks = plan.ranksOf[expert];
     const share = plan.load[expert] / ranks.length;
@@ -96,7 +98,7 @@
             peak - share + otherShare,
             toLoad + share - otherShare,
           );
-          // A swap takes two copies: each expert must be loaded at its new
+          // A swap takes two copies: each expert must be copied to its new
           // rank.
           const gain = (peak - swapped) / 2;
           if (gain > bestGain) {
--- a/packages/daemon/src/placement/placement_decision.ts
+++ b/packages/daemon/src/placement/placement_decision.ts
@@ -17,19 +17,22 @@
 /** Whether to change the map, and the figures that explain the decision. */
 export interface PlacementDecision {
   kind: "keep" | "change";
-  /** Ranks of each expert by layer: the new placement, or else the current. */
+  /**
+   * Ranks of each expert by layer: the planned placement if the map is to
+   * change, otherwise the one in force.
+   */
   places: number[][][];
-  /** Skew of the current placement under the expected load. */
+  /** Skew of the placement in force under the expected load. */
   skewBefore: number;
   /** Skew of the planned placement under the expected load. */
   skewAfter: number;
   /** Number of changes in the plan. */
   changes: number;
-  /** Size of the weights that ranks must load. */
+  /** Size of the weights that the plan moves to ranks. */
   megabytes: number;
-  /** Time that the plan saves over the horizon. */
+  /** Iteration time that the plan saves over `horizonSeconds` of the preset. */
   savedMilliseconds: number;
-  /** Time saved less the cost of loading. */
+  /** Iteration time saved less the cost of moving the weights. */
   netMilliseconds: number;
 }
 
--- a/packages/daemon/src/placement/plan_in_worker.ts
+++ b/packages/daemon/src/placement/plan_in_worker.ts
@@ -3,7 +3,7 @@
 
 /**
  * Runs `planPlacement` in a worker thread. With 64 ranks, 256 experts and 60
- * layers, planning takes longer than the time allowed for one text token. On
+ * layers, planning takes longer than one text token of an answer may take. On
  * the main thread it would delay every answer that this process forwards.
  */
 export async function planInWorker(
--- a/packages/daemon/src/placement/plan_placement.ts
+++ b/packages/daemon/src/placement/plan_placement.ts
@@ -7,17 +7,27 @@
   ranks: number;
   /** Expert slots of a rank in one layer. */
   slots: number;
-  /** Expected text tokens per second by layer and expert. */
+  /**
+   * Expected load: text tokens per second by layer and expert. The load of a
+   * rank is the sum over its replicas; an expert's load is divided equally
+   * among its replicas.
+   */
   load: ArrayLike<number>[];
-  /** Ranks of each expert by layer, as in force. */
+  /**
+   * Placement in force: the ranks of each expert by layer. An expert map is a
+   * placement with a version.
+   */
   places: number[][][];
   /** Milliseconds that a rank takes for one text token of one expert. */
   millisecondsPerToken: number;
   /** Size of the weights of one expert of one layer. */
   megabytesPerExpert: number;
-  /** Milliseconds of iteration time saved that repay one megabyte moved. */
+  /**
+   * Milliseconds of iteration time that a plan must save over the horizon for
+   * each megabyte that it moves.
+   */
   exchangeRate: number;
-  /** Seconds over which the time saved is added up. */
+  /** Horizon: seconds over which the iteration time saved is added up. */
   horizonSeconds: number;
   /** Megabytes that one plan may move at most. */
   megabytesLimit: number;
@@ -25,21 +35,24 @@
 
 /** A plan with its gain and cost. */
 export interface PlacementPlan {
-  /** Ranks of each expert by layer. */
+  /** Planned placement: the ranks of each expert by layer. */
   places: number[][][];
   /** Number of changes in the plan. */
   changes: number;
-  /** Number of experts that ranks must load. */
+  /**
+   * Number of copies that the plan needs. A copy gives one rank the weights of
+   * one expert of one layer that the rank does not have yet.
+   */
   copies: number;
-  /** Size of the weights that ranks must load. */
+  /** Size of the weights of all copies. */
   megabytes: number;
-  /** Highest over mean rank load before the plan, weighted by layer load. */
+  /** Skew of the placement in force, as `skewOfPlans` defines it. */
   skewBefore: number;
-  /** Highest over mean rank load after the plan, weighted by layer load. */
+  /** Skew of the planned placement, as `skewOfPlans` defines it. */
   skewAfter: number;
   /** Iteration time saved over the horizon. */
   savedMilliseconds: number;
-  /** Iteration time saved less the cost of moving experts. */
+  /** Iteration time saved over the horizon less the cost of the copies. */
   netMilliseconds: number;
 }
 
@@ -47,28 +60,39 @@
 interface Candidate {
   layer: number;
   change: improveLayer.Change;
-  /** Decrease of the layer's highest rank load, in text tokens per second. */
-  gain: number;
+  /**
+   * Decrease of the layer's highest rank load by this change, in text tokens
+   * per second.
+   */
+  layerGain: number;
 }
 
 /**
- * Plans the next expert map. It makes those changes to the map in force that
- * gain most for the bytes that they move, and only those that repay their cost.
- * In each iteration a layer takes as long as its slowest rank. Each layer is
- * therefore improved separately, and all layers compete for the bytes.
+ * Plans the next placement. It makes those changes to the placement in force
+ * that lower the highest rank loads most for each copy, and only those that
+ * repay their cost. In each iteration a layer takes as long as its slowest
+ * rank. Each layer is therefore improved separately, and the changes of all
+ * layers compete for the megabytes that `megabytesLimit` allows the plan to
+ * move.
  */
 export function planPlacement(input: PlacementInput): PlacementPlan {
   const plans = layerPlansOf(input);
-  const skewBefore = meanSkew(plans);
-  const maxLoadBefore = totalMaxRankLoad(plans);
+  const skewBefore = skewOfPlans(plans);
+  const maxLoadBefore = sumOfMaxRankLoads(plans);
   const copyCostMilliseconds = input.exchangeRate * input.megabytesPerExpert;
+  // Iteration time saved over the horizon if the highest rank load of one layer
+  // falls by one text token per second.
   const millisecondsPerUnitLoad =
     input.millisecondsPerToken * input.horizonSeconds;
-  const copyCostInLoad = copyCostMilliseconds / millisecondsPerUnitLoad;
+  // Decrease of a layer's highest rank load, in text tokens per second, for
+  // which the time saved equals the cost of one copy.
+  const breakEvenGainPerCopy = copyCostMilliseconds / millisecondsPerUnitLoad;
+  // A single change may gain less than that. `selectWithinBudget` drops batches
+  // of changes whose mean gain does not repay their copies.
   const candidates = plans.flatMap((plan, layer) =>
-    findCandidates(plan, layer, input, copyCostInLoad / 2),
+    findCandidates(plan, layer, input, breakEvenGainPerCopy / 2),
   );
-  const chosen = selectWithinBudget(candidates, input, copyCostInLoad);
+  const chosen = selectWithinBudget(candidates, input, breakEvenGainPerCopy);
   const result = layerPlansOf(input);
   let copies = 0;
   for (const { layer, change } of chosen) {
@@ -76,14 +100,14 @@
     copies += change.copies;
   }
   const savedMilliseconds =
-    millisecondsPerUnitLoad * (maxLoadBefore - totalMaxRankLoad(result));
+    millisecondsPerUnitLoad * (maxLoadBefore - sumOfMaxRankLoads(result));
   return {
     places: result.map((plan) => plan.ranksOf),
     changes: chosen.length,
     copies,
     megabytes: copies * input.megabytesPerExpert,
     skewBefore,
-    skewAfter: meanSkew(result),
+    skewAfter: skewOfPlans(result),
     savedMilliseconds,
     netMilliseconds: savedMilliseconds - copies * copyCostMilliseconds,
   };
@@ -98,9 +122,10 @@
 
 /**
  * Improves one layer's plan by one change after the other and returns the
- * changes in that order. Each relieves the rank with the highest load by more
- * than `minGainPerCopy` for each copy. The gain for the layer is smaller, or
- * zero, if other ranks have nearly the same load.
+ * changes in that order. Each change lowers the highest load among the ranks
+ * that it concerns by more than `minGainPerCopy` for each copy. The highest
+ * load of the whole layer falls by less, or not at all, if another rank has
+ * nearly the same load.
  */
 function findCandidates(
   plan: layerPlan.LayerPlan,
@@ -109,19 +134,20 @@
   minGainPerCopy: number,
 ): Candidate[] {
   const candidates: Candidate[] = [];
+  // Not more changes than the layer has slots.
   const maxChanges = input.ranks * input.slots;
   for (let count = 0; count < maxChanges; count++) {
     const before = plan.maxRankLoad;
     const change = improveLayer.bestChange(plan, input.slots, minGainPerCopy);
     if (!change) break;
     improveLayer.applyChange(plan, change);
-    candidates.push({ layer, change, gain: before - plan.maxRankLoad });
+    candidates.push({ layer, change, layerGain: before - plan.maxRankLoad });
   }
   return candidates;
 }
 
 /**
- * Selects the changes that repay their cost and fit into the limit on bytes.
+ * Selects the changes that repay their cost and fit into `megabytesLimit`.
  * Each change of a layer builds on the ones before it, so a layer's changes are
  * selected from the first one on, without gaps. Batches of changes compete by
  * gain per copy. A batch repays its cost if its mean gain per copy is above
@@ -130,7 +156,7 @@
 function selectWithinBudget(
   candidates: Candidate[],
   input: PlacementInput,
-  copyCostInLoad: number,
+  breakEvenGainPerCopy: number,
 ): Candidate[] {
   const batches = splitIntoBatches(candidates);
   const copyBudget = input.megabytesLimit / input.megabytesPerExpert;
@@ -139,7 +165,7 @@
   let copies = 0;
   batches.sort((left, right) => right.gainPerCopy - left.gainPerCopy);
   for (const batch of batches) {
-    if (batch.gainPerCopy <= copyCostInLoad) break;
+    if (batch.gainPerCopy <= breakEvenGainPerCopy) break;
     if (blockedLayers.has(batch.layer)) continue;
     if (copies + batch.copies > copyBudget) {
       blockedLayers.add(batch.layer);
@@ -158,7 +184,7 @@
   layer: number;
   candidates: Candidate[];
   copies: number;
-  /** Mean gain for each copy. */
+  /** Sum of the changes' layer gains divided by the batch's copies. */
   gainPerCopy: number;
 }
 
@@ -170,14 +196,14 @@
 function splitIntoBatches(candidates: Candidate[]): Batch[] {
   const byLayer = new Map<number, Batch[]>();
   for (const candidate of candidates) {
-    const { layer, gain, change } = candidate;
+    const { layer, layerGain, change } = candidate;
     const batches = byLayer.get(layer) ?? [];
     byLayer.set(layer, batches);
     let batch: Batch = {
       layer,
       candidates: [candidate],
       copies: change.copies,
-      gainPerCopy: gain / change.copies,
+      gainPerCopy: layerGain / change.copies,
     };
     for (
       let previous = batches.at(-1);
@@ -201,22 +227,25 @@
   return [...byLayer.values()].flat();
 }
 
-function totalMaxRankLoad(plans: layerPlan.LayerPlan[]): number {
+/** Sum of the highest rank loads of all layers. */
+function sumOfMaxRankLoads(plans: layerPlan.LayerPlan[]): number {
   return plans.reduce((sum, plan) => sum + plan.maxRankLoad, 0);
 }
 
 /**
- * Sum of the layers' highest rank loads over the sum of their mean rank loads;
- * 1 without load.
+ * Skew of layer plans: the sum of the layers' highest rank loads divided by the
+ * sum of their mean rank loads. A layer thus counts by its load. Returns 1 if
+ * there is no load.
  */
-export function meanSkew(plans: layerPlan.LayerPlan[]): number {
-  let maxLoad = 0;
-  let meanLoad = 0;
+export function skewOfPlans(plans: layerPlan.LayerPlan[]): number {
+  let maxLoadSum = 0;
+  let meanLoadSum = 0;
   for (const plan of plans) {
-    maxLoad += plan.maxRankLoad;
-    meanLoad += plan.rankLoad.reduce((sum, load) => sum + load, 0) / plan.ranks;
+    maxLoadSum += plan.maxRankLoad;
+    meanLoadSum +=
+      plan.rankLoad.reduce((sum, load) => sum + load, 0) / plan.ranks;
   }
-  return meanLoad > 0 ? maxLoad / meanLoad : 1;
+  return meanLoadSum > 0 ? maxLoadSum / meanLoadSum : 1;
 }
 
 /** Skew of a placement under a load by layer and expert. */
@@ -225,7 +254,7 @@
   places: number[][][],
   ranks: number,
 ): number {
-  return meanSkew(
+  return skewOfPlans(
     load.map(
       (layerLoad, layer) =>
         new layerPlan.LayerPlan(layerLoad, places[layer], ranks),
--- a/packages/daemon/src/placement/plan_quick.ts
+++ b/packages/daemon/src/placement/plan_quick.ts
@@ -13,13 +13,13 @@
   /** Ranks of each expert by layer, as in force. */
   places: number[][][];
   /**
-   * Share of the summed load of all layers' slowest ranks that each copy must
-   * save. It stands for the cost of loading the copy.
+   * Least gain of each copy, as a share of the sum of all layers' highest rank
+   * loads. It stands for the cost of the copy.
    */
   minGainSharePerCopy: number;
-  /** Experts that one rank may load at most, over all layers. */
+  /** Copies that one rank may receive at most, over all layers. */
   maxCopiesPerRank: number;
-  /** Experts that one rank may load at most in one layer. */
+  /** Copies that one rank may receive at most in one layer. */
   maxCopiesPerRankAndLayer: number;
 }
 
@@ -27,25 +27,31 @@
 export interface QuickPlan {
   /** Ranks of each expert by layer. */
   places: number[][][];
-  /** Number of experts that all ranks together must load. */
+  /** Number of copies that all ranks together must receive. */
   copies: number;
   /**
-   * Number of experts that the rank with the most copies must load. It decides
-   * how long loading takes, because all ranks load at the same time.
+   * Number of copies that the rank with the most copies must receive. It
+   * decides how long copying takes, because all ranks copy at the same time.
    */
   mostCopiesOfRank: number;
-  /** Highest over mean rank load before the plan, weighted by layer load. */
+  /**
+   * Skew of the placement in force, as `planPlacement.skewOfPlans` defines it.
+   */
   skewBefore: number;
-  /** Highest over mean rank load after the plan, weighted by layer load. */
+  /**
+   * Skew of the planned placement, as `planPlacement.skewOfPlans` defines it.
+   */
   skewAfter: number;
 }
 
 /**
- * Plans the next map for a group whose demand changes every few seconds. A rank
- * loads its new experts one after the other, and the map can be used once the
- * rank with the most copies has loaded them. The plan therefore limits the
- * copies of each rank. It makes the changes with the highest gain per copy
- * first, over all layers, until none gains enough within the limits.
+ * Plans the next placement for a group whose demand changes every few seconds,
+ * so that the group can use it quickly. A rank receives its copies one after
+ * the other, and the group can use the new map once the rank with the most
+ * copies has received them all. Unlike `planPlacement`, the plan therefore
+ * limits the copies of each rank, not the megabytes of all. It makes the
+ * changes with the highest gain per copy first, over all layers, until none
+ * gains enough within the limits.
  */
 export function planQuick(input: QuickPlanInput): QuickPlan {
   const plans = input.load.map(
@@ -53,12 +59,9 @@
       new layerPlan.LayerPlan(load, input.places[layer], input.ranks),
   );
   const copyCounts = new CopyCounts(input);
-  const skewBefore = planPlacement.meanSkew(plans);
-  const totalMaxRankLoad = plans.reduce(
-    (sum, plan) => sum + plan.maxRankLoad,
-    0,
-  );
-  const minGain = totalMaxRankLoad * input.minGainSharePerCopy;
+  const skewBefore = planPlacement.skewOfPlans(plans);
+  const maxRankLoadSum = plans.reduce((sum, plan) => sum + plan.maxRankLoad, 0);
+  const minGain = maxRankLoadSum * input.minGainSharePerCopy;
   const findChange = (layer: number) =>
     improveLayer.bestChange(plans[layer], input.slots, minGain, (rank) =>
       copyCounts.allowsRank(layer, rank),
@@ -72,8 +75,8 @@
     improveLayer.applyChange(plans[layer], change);
     for (let other = 0; other < plans.length; other++) {
       const candidate = candidates[other];
-      // The candidates of other layers stay valid unless they load an expert at
-      // a rank that has now reached its limit.
+      // The candidates of other layers stay valid unless they need a copy at a
+      // rank that has now reached its limit.
       const blocked = candidate && !copyCounts.allows(other, candidate);
       if (other !== layer && !blocked) continue;
       candidates[other] = findChange(other);
@@ -84,7 +87,7 @@
     copies: copyCounts.total,
     mostCopiesOfRank: copyCounts.maxPerRank,
     skewBefore,
-    skewAfter: planPlacement.meanSkew(plans),
+    skewAfter: planPlacement.skewOfPlans(plans),
   };
 }
 
@@ -102,7 +105,7 @@
   return best;
 }
 
-/** Number of experts that each rank must load for the changes made so far. */
+/** Number of copies that each rank must receive for the changes made so far. */
 class CopyCounts {
   readonly #byRank: number[];
   readonly #byLayerAndRank: number[][];
@@ -119,12 +122,14 @@
     return Math.max(...this.#byRank);
   }
 
-  /** Whether all ranks that must load an expert for a change may do so. */
+  /** Whether all ranks that must receive a copy for a change may do so. */
   allows(layer: number, change: improveLayer.Change): boolean {
-    return ranksLoading(change).every((rank) => this.allowsRank(layer, rank));
+    return ranksReceivingCopy(change).every((rank) =>
+      this.allowsRank(layer, rank),
+    );
   }
 
-  /** Whether a rank may load one more expert of a layer. */
+  /** Whether a rank may receive one more copy of an expert of a layer. */
   allowsRank(layer: number, rank: number): boolean {
     const { maxCopiesPerRank, maxCopiesPerRankAndLayer } = this.input;
     if (this.#byRank[rank] >= maxCopiesPerRank) return false;
@@ -132,7 +137,7 @@
   }
 
   add(layer: number, change: improveLayer.Change): void {
-    for (const rank of ranksLoading(change)) {
+    for (const rank of ranksReceivingCopy(change)) {
       this.#byRank[rank]++;
       this.#byLayerAndRank[layer][rank]++;
       this.total++;
@@ -140,8 +145,8 @@
   }
 }
 
-/** Ranks that must load an expert for a change. */
-function ranksLoading(change: improveLayer.Change): number[] {
+/** Ranks that must receive a copy of an expert for a change. */
+function ranksReceivingCopy(change: improveLayer.Change): number[] {
   return change.kind === improveLayer.ChangeKind.Swap
     ? [change.from, change.to]
     : [change.to];
