--- a/packages/daemon/src/placement/plan_quick_test.ts
+++ b/packages/daemon/src/placement/plan_quick_test.ts
@@ -9,8 +9,8 @@
 const LAYERS = 6;
 
 /**
- * Load by layer and expert after one shift of demand: in each layer a few
- * experts get most of the activations.
+ * Load by layer and expert. In each layer a few experts have most of the load,
+ * as after a shift of demand that the placement does not yet follow.
  */
 function shiftedLoad(seed: number): number[][] {
   const random = new common.Random(seed);
@@ -19,7 +19,10 @@
   );
 }
 
-/** Placement of a newly formed group: one replica each, to ranks in turn. */
+/**
+ * Placement of a newly formed group. Each expert has one replica; the ranks get
+ * the experts in turn.
+ */
 function initialPlaces(): number[][][] {
   return Array.from({ length: LAYERS }, () =>
     Array.from({ length: EXPERTS }, (_, expert) => [expert % RANKS]),
@@ -29,6 +32,7 @@
 function inputOf(seed: number): planQuick.QuickPlanInput {
   return {
     ranks: RANKS,
+    // 64 experts take 8 slots of each of the 8 ranks, so 3 slots are free.
     slots: 11,
     load: shiftedLoad(seed),
     places: initialPlaces(),
@@ -38,7 +42,7 @@
   };
 }
 
-/** Number of experts of a layer that each rank must load for a plan. */
+/** Number of copies of a layer's experts that each rank receives by a plan. */
 function copiesByRank(
   before: number[][][],
   after: number[][][],
@@ -54,7 +58,7 @@
 }
 
 for (const seed of [1, 2, 3, 4]) {
-  test(`after a shift of demand, a plan lowers peak over mean rank load by a fifth within slot and copy limits, seed ${seed}`, (t) => {
+  test(`after a shift of demand, a plan lowers the skew by more than a fifth within slot and copy limits and keeps a replica of each expert, seed ${seed}`, (t) => {
     const input = inputOf(seed);
     const plan = planQuick.planQuick(input);
     t.true(plan.skewAfter < plan.skewBefore * 0.8);
@@ -75,9 +79,9 @@
   });
 }
 
-// Loading a copy has a cost. While no request waits, only lowering the highest
-// rank loads repays it.
-test("a higher cost per copy gives a plan with fewer copies", (t) => {
+// Each copy has a cost, which the caller passes as the least gain per copy. A
+// plan that ignored it would make copies that do not repay their cost.
+test("a higher least gain per copy gives a plan with fewer copies and no lower skew", (t) => {
   const cheap = planQuick.planQuick({
     ...inputOf(1),
     minGainSharePerCopy: 0.005,
