--- a/packages/daemon/src/expert_map/group_coordinator.ts
+++ b/packages/daemon/src/expert_map/group_coordinator.ts
@@ -83,8 +83,8 @@
  * starts.
  */
 export class GroupCoordinator {
-  readonly #hourlyLoad = new expertLoadForecast.ExpertLoadForecast();
-  readonly #surgeClock = new surgeForecast.SurgeForecast();
+  readonly #expertLoadForecast = new expertLoadForecast.ExpertLoadForecast();
+  readonly #surgeForecast = new surgeForecast.SurgeForecast();
   #lastPlan: placementDecision.PlacementDecision | undefined;
   /** Switches committed since this coordinator started. */
   #committedSwitches = 0;
@@ -251,15 +251,15 @@
     const load = perSecond(state.tokens, seconds);
     if (!hasLoad(load)) return true;
     const now = Date.now();
-    this.#hourlyLoad.observe(load, now);
-    this.#surgeClock.observe(tokensPerSecondOf(load), now);
+    this.#expertLoadForecast.observe(load, now);
+    this.#surgeForecast.observe(tokensPerSecondOf(load), now);
     const horizonMilliseconds = inForce.placement.horizonSeconds * 1_000;
-    const forecast =
-      this.#hourlyLoad.forecast(now, horizonMilliseconds) ?? load;
+    const expectedLoad =
+      this.#expertLoadForecast.forecast(now, horizonMilliseconds) ?? load;
     if (!mayStartSwitch()) return true;
     const { places } = state;
     const decision = await placementDecision.decidePlacement({
-      load: forecast,
+      load: expectedLoad,
       places,
       ranks,
       experts: expertSettings,
@@ -268,8 +268,10 @@
     this.#lastPlan = decision;
     this.#logDecision(decision);
     if (decision.kind === "keep") return true;
-    const clock = this.#surgeClock;
-    if (deferPlacement.isDeferred({ decision, clock, wallMilliseconds: now })) {
+    const forecast = this.#surgeForecast;
+    if (
+      deferPlacement.isDeferred({ decision, forecast, wallMilliseconds: now })
+    ) {
       const { group, logger } = this.parameters;
       const { netMilliseconds } = decision;
       const code = common.EventCode.PlacementHeldBack;
--- a/packages/stand_ins/src/measure/measure_surge.ts
+++ b/packages/stand_ins/src/measure/measure_surge.ts
@@ -94,7 +94,12 @@
     });
     const wallMilliseconds = wall;
     const held =
-      holds && deferPlacement.isDeferred({ decision, clock, wallMilliseconds });
+      holds &&
+      deferPlacement.isDeferred({
+        decision,
+        forecast: clock,
+        wallMilliseconds,
+      });
     if (decision.kind === "change" && !held) {
       const { megabytes } = decision;
       figures.megabytes += megabytes;
