--- a/packages/daemon/src/expert_map/inspect_group.ts
+++ b/packages/daemon/src/expert_map/inspect_group.ts
@@ -17,8 +17,10 @@
 }
 
 /**
- * Reads maps and expert load from all ranks and resets their counts of tokens.
- * Returns `undefined` if a rank does not answer.
+ * Reads the map version and the experts of every rank, with the number of text
+ * tokens that each expert has processed. Each rank restarts its counts of
+ * tokens when it is read. Returns `undefined` if some rank did not confirm the
+ * order.
  */
 export async function inspectGroup(
   term: groupTerm.GroupTerm,
@@ -36,7 +38,11 @@
   };
 }
 
-/** Merges the counts that each rank reports for its own experts. */
+/**
+ * Merges the counts of all ranks. A rank reports a count for each expert that
+ * it has, also if the count is zero. The counts therefore show the ranks of
+ * every expert as well.
+ */
 function mergeCounts(
   counts: wire.ExpertCount[][][],
 ): Pick<GroupInspection, "tokens" | "places"> {
--- a/packages/daemon/src/expert_map/map_cache.ts
+++ b/packages/daemon/src/expert_map/map_cache.ts
@@ -1,12 +1,16 @@
 import * as wire from "@geraniumkeel/wire";
 
-/** Enough for the map in force, the staged one and the one before: any base. */
+/**
+ * Enough for the map in force, the staged one and the one before. Any
+ * changes are based on one of these.
+ */
 const MAX_CACHED_MAPS = 3;
 
 /**
- * The newest maps that a rank's agent has received, in memory, so that the
- * coordinator can send the next map as changes to one of them. A restarted
- * agent has none, and the coordinator sends it the complete map.
+ * The newest maps that a rank's upstream process has received, in memory, so
+ * that the coordinator can send the next map as changes to one of them. A
+ * restarted upstream process has none, and the coordinator sends it the
+ * complete map.
  */
 export class MapCache {
   readonly #maps = new Map<number, wire.ExpertMap>();
@@ -22,8 +26,9 @@
   }
 
   /**
-   * The map that results from changes, or `undefined` if their base is not
-   * cached or differs from the sender's.
+   * The map that results from changes. Returns `undefined` if the map that the
+   * changes are based on is not cached, or differs from the coordinator's map
+   * of that version.
    */
   applyChanges(changes: wire.MapChanges): wire.ExpertMap | undefined {
     const base = this.#maps.get(changes.base);
--- a/packages/daemon/src/expert_map/map_store.ts
+++ b/packages/daemon/src/expert_map/map_store.ts
@@ -2,13 +2,18 @@
 import type * as wire from "@geraniumkeel/wire";
 
 /**
- * Expert maps in the object store. A coordinator's successor reads them there
- * to give all ranks the same map.
+ * Expert maps in the object store. If ranks use different maps when a new
+ * coordinator takes over, it reads the newest of these maps there and gives it
+ * to all ranks.
  */
 export class MapStore {
   constructor(readonly objects: backingServices.ObjectStore) {}
 
-  /** Stores a map, before it is staged. Returns false if that failed. */
+  /**
+   * Stores a map. Returns false if that failed. A coordinator stores each map
+   * before it orders the ranks to stage the map, so that a successor can read
+   * any map that ranks use.
+   */
   async write(group: string, map: wire.ExpertMap): Promise<boolean> {
     const name = objectName(group, map.version);
     const written = await this.objects.put(name, JSON.stringify(map));
--- a/packages/daemon/src/expert_map/order_gate.ts
+++ b/packages/daemon/src/expert_map/order_gate.ts
@@ -2,43 +2,61 @@
 import * as wire from "@geraniumkeel/wire";
 import * as mapCache from "./map_cache.ts";
 
-/** The part of an engine client that sends orders to the engine. */
+/**
+ * An engine that accepts a coordinator's orders: the part of the engine client
+ * that `OrderGate` needs.
+ */
 export interface OrderableEngine {
   order: engineModule.HttpEngine["order"];
 }
 
-/** Values of the fields that an engine leaves out of its answer. */
+/**
+ * Values of the fields that an engine leaves out of its answer. A version of 0
+ * means that there is no such map.
+ */
 function defaultState(): wire.RankState {
   return {
+    // Number of the iteration that the rank has reached.
     step: 0,
     mapVersion: 0,
     stagedVersion: 0,
     armedVersion: 0,
+    // Number of the iteration from which the rank is to use the armed map.
     armedStep: 0,
+    // Version for which the rank has received "go".
     goVersion: 0,
+    // Whether the rank holds, so that no iteration begins.
     held: false,
     expertTokens: [],
   };
 }
 
 /**
- * Passes orders of a group's coordinators to one rank's engine and enforces
- * fencing, also for engines that ignore it: after a promise, orders with a
- * lower fencing number never reach the engine. A new incarnation of the agent
- * starts without a promise. Each order names the incarnation that promised, so
- * a new incarnation refuses orders of a coordinator that got its promise before
- * the restart, even if that coordinator has the highest fencing number.
+ * Runs in the upstream process beside one rank's engine. It passes orders of
+ * the group's coordinators to the engine and enforces fencing, also for engines
+ * that ignore it. A coordinator first orders the rank to promise the
+ * coordinator's fencing number. From then on the gate refuses every order with
+ * a lower number, and the order does not reach the engine.
+ *
+ * A restarted upstream process has a new incarnation, without a promise. Each
+ * order is therefore addressed to an incarnation: for an order to promise, the
+ * one that the coordinator sees linked; for any other order, the one that
+ * promised. The new incarnation refuses orders of a coordinator that got its
+ * promise before the restart, even if that coordinator has the highest fencing
+ * number.
  */
 export class OrderGate {
   readonly #mapCache = new mapCache.MapCache();
   #promisedFencing = 0;
   /**
-   * Completes with the latest order received. Orders run one at a time, so a
-   * promise takes effect after all orders received earlier.
+   * Resolves once all orders received so far have been executed or refused.
+   * Orders run one at a time, so a new fencing number is promised only after
+   * all orders received earlier.
    */
-  #previous: Promise<unknown> = Promise.resolve();
+  #earlierOrders: Promise<unknown> = Promise.resolve();
 
   constructor(
+    /** Incarnation of the upstream process. */
     readonly incarnation: string,
     readonly engine: OrderableEngine,
   ) {}
@@ -50,14 +68,15 @@
 
   /**
    * Carries out an order after all earlier ones, and returns the engine's state
-   * or the reason for a refusal.
+   * or the reason for a refusal. `agentIncarnation` is the incarnation of the
+   * upstream process that the order is addressed to.
    */
   handle(parameters: {
     agentIncarnation: string;
     order: wire.Order;
   }): Promise<wire.OrderAnswer> {
-    const answer = this.#previous.then(() => this.#execute(parameters));
-    this.#previous = answer;
+    const answer = this.#earlierOrders.then(() => this.#execute(parameters));
+    this.#earlierOrders = answer;
     return answer;
   }
 
@@ -90,8 +109,8 @@
   }
 
   /**
-   * The order in a form that engines understand; `undefined` if it stages
-   * changes to a map that is not cached.
+   * The order in a form that engines understand: changes to a map become the
+   * complete new map. Returns `undefined` if the cache cannot apply them.
    */
   #engineOrder(order: wire.Order): wire.EngineOrder | undefined {
     if (order.kind !== wire.OrderKind.StageChanges) return order;
@@ -105,7 +124,11 @@
   }
 }
 
-/** The refusal that the reason contains; `EngineFailed` if it has none. */
+/**
+ * Finds the refusal that an engine named in its error text, which is `reason`.
+ * Returns `EngineFailed` if the text names none, as with an engine that did not
+ * answer.
+ */
 function refusalOf(reason: string): wire.OrderRefusal {
   const refusals = Object.values(wire.OrderRefusal);
   const known = refusals.find((refusal) => reason.includes(refusal));
