--- a/packages/daemon/src/expert_map/switch_map.ts
+++ b/packages/daemon/src/expert_map/switch_map.ts
@@ -18,15 +18,17 @@
 export interface SwitchOutcome {
   kind: SwitchOutcomeKind;
   detail: string;
-  /** Higher fencing number that a rank promised; 0 if none was reported. */
+  /** Fencing number that a rank has promised; 0 if none was reported. */
   promisedFencing: number;
 }
 
 /** How the engines of a group change to a new map. */
 export enum SwitchMode {
   /**
-   * Each engine is armed for an iteration. It applies the map before that
-   * iteration if it has received "go"; otherwise it holds until "go" arrives.
+   * The coordinator sends each engine the new map ("stage"), the number of the
+   * iteration that first uses the map ("arm") and the permission to use it
+   * ("go"). The engine applies the map before that iteration if it has received
+   * "go"; otherwise it holds until "go" arrives.
    */
   AtIteration = "at-step",
   /**
@@ -64,8 +66,8 @@
 
 /**
  * Switches a group to a new expert map so that no iteration ever runs with two
- * maps. Every iteration needs all ranks. The agreement of all their agents is
- * therefore sufficient, and no store takes part in the decision.
+ * maps. Every iteration needs all ranks. The agreement of all their upstream
+ * processes is therefore sufficient, and no store takes part in the decision.
  */
 export async function switchMap(
   parameters: SwitchParameters,
@@ -118,13 +120,13 @@
 ): Promise<SwitchOutcome> {
   const { group, fencing } = term;
   const kind = wire.OrderKind.Go;
-  const failure = await term.orderAllUntilFinal({
+  const failedReply = await term.orderAllUntilFinal({
     kind,
     group,
     fencing,
     version,
   });
-  if (failure) return failedOutcome(failure);
+  if (failedReply) return failedOutcome(failedReply);
   return awaitApplied(term, version);
 }
 
@@ -137,12 +139,12 @@
   term: groupTerm.GroupTerm,
   version: number,
 ): Promise<SwitchOutcome> {
-  const failure = await awaitAllRanks(
+  const failedReply = await awaitAllRanks(
     term,
     (state) => state.mapVersion === version,
     () => term.pause(),
   );
-  if (failure) return failedOutcome(failure);
+  if (failedReply) return failedOutcome(failedReply);
   return {
     kind: SwitchOutcomeKind.Committed,
     promisedFencing: 0,
@@ -162,8 +164,8 @@
   const { group, fencing } = term;
   const readState = { kind: wire.OrderKind.Promise, group, fencing } as const;
   for (;;) {
-    const failure = await term.orderAllUntilFinal(readState);
-    if (failure || term.states.every(condition)) return failure;
+    const failedReply = await term.orderAllUntilFinal(readState);
+    if (failedReply || term.states.every(condition)) return failedReply;
     await pause();
   }
 }
@@ -173,7 +175,7 @@
   return Math.max(...term.states.map(({ step }) => step));
 }
 
-/** Makes all ranks hold, gives them the map and releases them. */
+/** Orders all ranks to hold, to apply the staged map and to go on. */
 async function switchWhileHolding(
   parameters: SwitchParameters,
 ): Promise<SwitchOutcome> {
@@ -235,8 +237,8 @@
       promisedFencing: promisedFencingOf(reason),
     };
   }
-  const failure = await cancelSwitchesUpTo(term, map.version);
-  if (failure) return failedOutcome(failure);
+  const failedReply = await cancelSwitchesUpTo(term, map.version);
+  if (failedReply) return failedOutcome(failedReply);
   return { kind: SwitchOutcomeKind.Cancelled, detail, promisedFencing: 0 };
 }
 
