--- a/packages/daemon/src/expert_map/coordinators.ts
+++ b/packages/daemon/src/expert_map/coordinators.ts
@@ -4,7 +4,7 @@
 import type * as configurationKeeper from "../configuration/configuration_keeper.ts";
 import type * as runnerDirectory from "../dispatch/runner_directory.ts";
 import type * as runnerLink from "../dispatch/runner_link.ts";
-import * as groupPorts from "./group_ports.ts";
+import * as groupConnections from "./group_connections.ts";
 import * as groupCoordinator from "./group_coordinator.ts";
 import * as leaseModule from "../lease/lease.ts";
 import type * as mapStore from "./map_store.ts";
@@ -114,8 +114,8 @@
         random: this.parameters.random,
       }),
       maps,
-      rankPorts: () =>
-        groupPorts.groupPorts({
+      rankConnections: () =>
+        groupConnections.groupConnections({
           group,
           runners: this.parameters.runners,
           timeoutMilliseconds: ORDER_TIMEOUT_MILLISECONDS,
--- a/packages/daemon/src/expert_map/group_coordinator.ts
+++ b/packages/daemon/src/expert_map/group_coordinator.ts
@@ -9,7 +9,7 @@
 import * as groupTerm from "./group_term.ts";
 import * as inspectGroup from "./inspect_group.ts";
 import type * as mapStore from "./map_store.ts";
-import type * as rankPort from "./rank_port.ts";
+import type * as rankConnection from "./rank_connection.ts";
 import * as switchMap from "./switch_map.ts";
 import * as takeOver from "./take_over.ts";
 
@@ -19,8 +19,10 @@
   /** Lease that lets one entry at a time coordinate the group. */
   lease: leaseModule.Lease;
   maps: mapStore.MapStore;
-  /** Ports to all ranks, or `undefined` while a rank cannot be reached. */
-  rankPorts: () => rankPort.RankPort[] | undefined;
+  /**
+   * Connections to all ranks, or `undefined` while a rank cannot be reached.
+   */
+  rankConnections: () => rankConnection.RankConnection[] | undefined;
   /** Expert settings of the group's service, if it has any. */
   experts: () => configuration.Experts | undefined;
   /** The preset in force, if the entry has a configuration. */
@@ -148,11 +150,11 @@
   }
 
   /**
-   * Ends the term after the switch in progress, if there is one. A switch that
-   * was given up between "arm" and "go" would make the group hold until a
-   * successor has taken over. Continuing without the lease is safe: once ranks
-   * promise a successor's higher fencing number, they refuse this term's
-   * orders.
+   * Ends the term after the switch in progress, if there is one. If the term
+   * gave up a switch after it ordered "arm" and before "go", the armed ranks,
+   * and with them the group, would hold until a successor has taken over.
+   * Continuing without the lease is safe: once ranks promise a successor's
+   * higher fencing number, they refuse this term's orders.
    */
   async #endTerm(): Promise<void> {
     const term = this.#term;
@@ -199,23 +201,29 @@
 
   /**
    * Gets promises from all ranks and completes or cancels a switch that a
-   * predecessor left. Returns the term; `undefined` if some rank was not
-   * reached; or "superseded" if a rank has promised a higher fencing number.
+   * predecessor left. Returns the term; `undefined` if the take-over did not
+   * succeed yet; or "superseded" if a rank refused the fencing number because
+   * it obeys another coordinator.
    */
   async #takeOver(
     fencing: number,
     signal: AbortSignal,
   ): Promise<groupTerm.GroupTerm | "superseded" | undefined> {
-    const { group, rankPorts, maps, logger } = this.parameters;
-    const ports = rankPorts();
-    if (!ports) return undefined;
-    const term = new groupTerm.GroupTerm({ group, fencing, ports, signal });
+    const { group, rankConnections, maps, logger } = this.parameters;
+    const connections = rankConnections();
+    if (!connections) return undefined;
+    const term = new groupTerm.GroupTerm({
+      group,
+      fencing,
+      connections,
+      signal,
+    });
     const readMap = (version: number) => maps.read(group, version);
     const outcome = await takeOver.takeOver({ term, readMap });
     switch (outcome.kind) {
       case "superseded":
         // The table service may have lost the fencing number that the ranks
-        // promised; the next one must be higher.
+        // promised. The next number that this entry gets must be higher.
         this.parameters.lease.raiseFencingAbove(outcome.promisedFencing);
         return "superseded";
       case "unreached":
--- a/packages/daemon/src/expert_map/group_term.ts
+++ b/packages/daemon/src/expert_map/group_term.ts
@@ -1,6 +1,6 @@
 import * as common from "@geraniumkeel/common";
 import * as wire from "@geraniumkeel/wire";
-import type * as rankPort from "./rank_port.ts";
+import type * as rankConnection from "./rank_connection.ts";
 import * as rankSession from "./rank_session.ts";
 
 /**
@@ -13,16 +13,16 @@
 /** Limits of the pause between reads of ranks that were ordered to hold. */
 const MIN_HELD_PAUSE_MILLISECONDS = 1;
 const MAX_HELD_PAUSE_MILLISECONDS = 5;
-/** How often an order that may still be given up is sent at most. */
+/** How often an order is sent at most while the coordinator may give it up. */
 const MAX_TRIES_PER_ORDER = 3;
 
 /** Parameters of a term. */
 export interface GroupTermParameters {
   group: string;
   fencing: number;
-  /** One port for each rank, in order of rank. */
-  ports: rankPort.RankPort[];
-  /** Once aborted, orders whose outcome is unknown are repeated no further. */
+  /** One connection for each rank, in order of rank. */
+  connections: rankConnection.RankConnection[];
+  /** Once aborted, `orderAllUntilFinal` repeats no order any further. */
   signal: AbortSignal;
   /** Repeats orders without a pause, for tests that have no timers. */
   withoutPauses?: boolean;
@@ -31,7 +31,10 @@
 /** A map to stage at all ranks. */
 export interface MapStaging {
   map: wire.ExpertMap;
-  /** The same map as changes to a base, for agents that have that base. */
+  /**
+   * The same map as changes to an earlier map, its base, for upstream processes
+   * that have the base.
+   */
   changes: wire.MapChanges | undefined;
 }
 
@@ -48,10 +51,10 @@
   #establishing: Promise<rankSession.RankReply | undefined> | undefined;
 
   constructor(readonly parameters: GroupTermParameters) {
-    const { group, fencing, ports } = parameters;
+    const { group, fencing, connections } = parameters;
     this.#random = new common.Random(fencing);
-    this.sessions = ports.map(
-      (port) => new rankSession.RankSession(port, group, fencing),
+    this.sessions = connections.map(
+      (connection) => new rankSession.RankSession(connection, group, fencing),
     );
   }
 
@@ -74,14 +77,14 @@
    * Gets a promise from every rank and then a confirmation of each promise.
    * Returns the first failure, or `undefined` if all ranks confirmed.
    *
-   * A restarted agent has lost its promise. Without the confirmations, a
-   * superseded coordinator could get a new promise from that agent and order
-   * "go" there while its successor cancels the switch at the other ranks; an
-   * iteration would then run with two maps. Confirmations by the incarnations
-   * that promised prove that at one moment all of them were running and had
-   * promised. If an agent restarts later, a superseded coordinator must get
-   * confirmations from the other ranks too before it can order anything there,
-   * and they refuse it.
+   * A restarted upstream process has lost its promise. Without the
+   * confirmations, a superseded coordinator could get a new promise from that
+   * process and order "go" there while its successor cancels the switch at the
+   * other ranks; an iteration would then run with two maps. Confirmations by
+   * the incarnations that promised prove that at one moment all of them were
+   * running and had promised. If an upstream process restarts later, a
+   * superseded coordinator must get confirmations from the other ranks too
+   * before it can order anything there, and they refuse it.
    */
   establish(): Promise<rankSession.RankReply | undefined> {
     this.#establishing ??= this.#establishOnce().finally(() => {
@@ -92,14 +95,14 @@
 
   /**
    * Sends an order to all ranks, and repeats it a few times at a rank whose
-   * answer is lost. Returns the first failure, if any. For orders that may
-   * still be given up.
+   * answer is lost. Returns the first failure, if any. For orders that the
+   * coordinator may still give up.
    */
   async orderAll(
     order: wire.Order,
   ): Promise<rankSession.RankReply | undefined> {
     const replies = this.sessions.map((session) =>
-      repeatWhileUnknown(() => session.order(order)),
+      sendWithRetries(() => session.order(order)),
     );
     return firstFailure(await Promise.all(replies));
   }
@@ -119,15 +122,16 @@
   async orderAndReadStates(
     order: wire.Order,
   ): Promise<wire.RankState[] | undefined> {
-    const failure = await this.orderAll(order);
-    return failure ? undefined : this.states;
+    const failedReply = await this.orderAll(order);
+    return failedReply ? undefined : this.states;
   }
 
   /**
-   * Sends an order to all ranks and repeats it at each until its outcome is
-   * known or the term's signal aborts. Returns the first failure, if any.
-   * Orders are idempotent. When an agent was replaced, the term is established
-   * again before the next repetition.
+   * Sends an order to all ranks and repeats it at each until the rank carries
+   * it out, or refuses it for a reason that a repetition does not remove, or
+   * until the term's signal aborts. Returns the first failure, if any. Orders
+   * are idempotent. When a rank's upstream process was replaced, the term is
+   * established again before the next repetition.
    */
   async orderAllUntilFinal(
     order: wire.Order,
@@ -163,7 +167,10 @@
     );
   }
 
-  /** Stages a map by its changes, or in full at an agent without their base. */
+  /**
+   * Stages a map by its changes, or in full if the upstream process lacks the
+   * map that the changes are based on.
+   */
   async #stageAt(
     session: rankSession.RankSession,
     staging: MapStaging,
@@ -172,7 +179,7 @@
     const { map, changes } = staging;
     if (changes) {
       const kind = wire.OrderKind.StageChanges;
-      const reply = await repeatWhileUnknown(() =>
+      const reply = await sendWithRetries(() =>
         session.order({ kind, group, fencing, changes }),
       );
       const lacksBase =
@@ -180,9 +187,7 @@
       if (!lacksBase) return reply;
     }
     const kind = wire.OrderKind.Stage;
-    return repeatWhileUnknown(() =>
-      session.order({ kind, group, fencing, map }),
-    );
+    return sendWithRetries(() => session.order({ kind, group, fencing, map }));
   }
 
   async #orderUntilFinal(
@@ -190,10 +195,12 @@
     order: wire.Order,
   ): Promise<rankSession.RankReply> {
     const { signal } = this.parameters;
-    let reply = rankSession.unknown("coordinator stopped");
+    let reply = rankSession.retryableReply("coordinator stopped");
     while (!signal.aborted) {
-      const failure = session.isBound ? undefined : await this.establish();
-      reply = failure ?? (await session.order(order));
+      const failedReply = session.isPromiserLinked
+        ? undefined
+        : await this.establish();
+      reply = failedReply ?? (await session.order(order));
       if (rankSession.isFinal(reply)) return reply;
       await this.pause();
     }
@@ -202,23 +209,24 @@
 
   async #establishOnce(): Promise<rankSession.RankReply | undefined> {
     const promises = this.sessions.map((session) =>
-      repeatWhileUnknown(() => session.promise()),
+      sendWithRetries(() => session.promise()),
     );
     const notPromised = firstFailure(await Promise.all(promises));
     if (notPromised) return notPromised;
     const confirmations = this.sessions.map((session) =>
-      repeatWhileUnknown(() => session.confirm()),
+      sendWithRetries(() => session.confirm()),
     );
     return firstFailure(await Promise.all(confirmations));
   }
 }
 
 /**
- * Sends an order again while its outcome is unknown, up to a limit. With many
+ * Sends an order, and sends it again while the reply is
+ * `RankFailure.Retryable`, up to `MAX_TRIES_PER_ORDER` times in all. With many
  * ranks, some answer is lost in almost every round; without repetition, hardly
  * any round would complete at all ranks.
  */
-async function repeatWhileUnknown(
+async function sendWithRetries(
   send: () => Promise<rankSession.RankReply>,
 ): Promise<rankSession.RankReply> {
   let reply = await send();
@@ -230,7 +238,8 @@
 }
 
 /**
- * The first failure; one that reports a new coordinator comes before others.
+ * The first reply that is a failure. A failure that shows another coordinator
+ * has taken over goes before all others.
  */
 function firstFailure(
   replies: rankSession.RankReply[],
--- a/packages/stand_ins/src/system/expert_map_test.ts
+++ b/packages/stand_ins/src/system/expert_map_test.ts
@@ -93,7 +93,7 @@
   }
 
   /** Port with delays, lost orders and lost answers. */
-  port(rank: number): daemon.RankPort {
+  port(rank: number): daemon.RankConnection {
     return {
       incarnations: () => [this.gates[rank].incarnation],
       order: async (order, agentIncarnation) => {
@@ -114,7 +114,7 @@
     const term = new daemon.GroupTerm({
       group: GROUP,
       fencing,
-      ports,
+      connections: ports,
       signal,
       withoutPauses: true,
     });
