--- a/packages/daemon/src/expert_map/group_coordinator.ts
+++ b/packages/daemon/src/expert_map/group_coordinator.ts
@@ -9,7 +9,7 @@
 import * as groupTerm from "./group_term.ts";
 import * as inspectGroup from "./inspect_group.ts";
 import type * as mapStore from "./map_store.ts";
-import type * as rankPort from "./rank_port.ts";
+import type * as rankConnection from "./rank_connection.ts";
 import * as switchMap from "./switch_map.ts";
 import * as takeOver from "./take_over.ts";
 
@@ -19,8 +19,10 @@
   /** Lease that lets one entry at a time coordinate the group. */
   lease: leaseModule.Lease;
   maps: mapStore.MapStore;
-  /** Ports to all ranks, or `undefined` while a rank cannot be reached. */
-  rankPorts: () => rankPort.RankPort[] | undefined;
+  /**
+   * Connections to all ranks, or `undefined` while a rank cannot be reached.
+   */
+  rankConnections: () => rankConnection.RankConnection[] | undefined;
   /** Expert settings of the group's service, if it has any. */
   experts: () => configuration.Experts | undefined;
   /** The preset in force, if the entry has a configuration. */
@@ -83,8 +85,8 @@
  * starts.
  */
 export class GroupCoordinator {
-  readonly #hourlyLoad = new expertLoadForecast.ExpertLoadForecast();
-  readonly #surgeClock = new surgeForecast.SurgeForecast();
+  readonly #expertLoadForecast = new expertLoadForecast.ExpertLoadForecast();
+  readonly #surgeForecast = new surgeForecast.SurgeForecast();
   #lastPlan: placementDecision.PlacementDecision | undefined;
   /** Switches committed since this coordinator started. */
   #committedSwitches = 0;
@@ -148,11 +150,11 @@
   }
 
   /**
-   * Ends the term after the switch in progress, if there is one. A switch that
-   * was given up between "arm" and "go" would make the group hold until a
-   * successor has taken over. Continuing without the lease is safe: once ranks
-   * promise a successor's higher fencing number, they refuse this term's
-   * orders.
+   * Ends the term after the switch in progress, if there is one. If the term
+   * gave up a switch after it ordered "arm" and before "go", the armed ranks,
+   * and with them the group, would hold until a successor has taken over.
+   * Continuing without the lease is safe: once ranks promise a successor's
+   * higher fencing number, they refuse this term's orders.
    */
   async #endTerm(): Promise<void> {
     const term = this.#term;
@@ -199,23 +201,29 @@
 
   /**
    * Gets promises from all ranks and completes or cancels a switch that a
-   * predecessor left. Returns the term; `undefined` if some rank was not
-   * reached; or "superseded" if a rank has promised a higher fencing number.
+   * predecessor left. Returns the term; `undefined` if the take-over did not
+   * succeed yet; or "superseded" if a rank refused the fencing number because
+   * it obeys another coordinator.
    */
   async #takeOver(
     fencing: number,
     signal: AbortSignal,
   ): Promise<groupTerm.GroupTerm | "superseded" | undefined> {
-    const { group, rankPorts, maps, logger } = this.parameters;
-    const ports = rankPorts();
-    if (!ports) return undefined;
-    const term = new groupTerm.GroupTerm({ group, fencing, ports, signal });
+    const { group, rankConnections, maps, logger } = this.parameters;
+    const connections = rankConnections();
+    if (!connections) return undefined;
+    const term = new groupTerm.GroupTerm({
+      group,
+      fencing,
+      connections,
+      signal,
+    });
     const readMap = (version: number) => maps.read(group, version);
     const outcome = await takeOver.takeOver({ term, readMap });
     switch (outcome.kind) {
       case "superseded":
         // The table service may have lost the fencing number that the ranks
-        // promised; the next one must be higher.
+        // promised. The next number that this entry gets must be higher.
         this.parameters.lease.raiseFencingAbove(outcome.promisedFencing);
         return "superseded";
       case "unreached":
@@ -251,15 +259,15 @@
     const load = perSecond(state.tokens, seconds);
     if (!hasLoad(load)) return true;
     const now = Date.now();
-    this.#hourlyLoad.observe(load, now);
-    this.#surgeClock.observe(tokensPerSecondOf(load), now);
+    this.#expertLoadForecast.observe(load, now);
+    this.#surgeForecast.observe(tokensPerSecondOf(load), now);
     const horizonMilliseconds = inForce.placement.horizonSeconds * 1_000;
-    const forecast =
-      this.#hourlyLoad.forecast(now, horizonMilliseconds) ?? load;
+    const expectedLoad =
+      this.#expertLoadForecast.forecast(now, horizonMilliseconds) ?? load;
     if (!mayStartSwitch()) return true;
     const { places } = state;
     const decision = await placementDecision.decidePlacement({
-      load: forecast,
+      load: expectedLoad,
       places,
       ranks,
       experts: expertSettings,
@@ -268,8 +276,10 @@
     this.#lastPlan = decision;
     this.#logDecision(decision);
     if (decision.kind === "keep") return true;
-    const clock = this.#surgeClock;
-    if (deferPlacement.isDeferred({ decision, clock, wallMilliseconds: now })) {
+    const forecast = this.#surgeForecast;
+    if (
+      deferPlacement.isDeferred({ decision, forecast, wallMilliseconds: now })
+    ) {
       const { group, logger } = this.parameters;
       const { netMilliseconds } = decision;
       const code = common.EventCode.PlacementHeldBack;
