--- a/packages/daemon/src/rank_group/execute_order.ts
+++ b/packages/daemon/src/rank_group/execute_order.ts
@@ -12,6 +12,7 @@
  */
 export interface OrderOutcome {
   end: wire.RankOrderEnd;
+  /** Reason for an outcome other than "done", sent to the leader. */
   detail: string;
   status: wire.RankStatus | undefined;
 }
@@ -53,10 +54,9 @@
     // meant for it before the restart.
     bornAt ??= report.value.bornAt;
     if (report.value.bornAt !== bornAt) {
-      return refused("engine restarted", status);
+      return refused("engine started anew", status);
     }
-    if (status.epoch !== epoch)
-      return refused(`engine is in group epoch ${status.epoch}`, status);
+    if (status.epoch !== epoch) return refused(`epoch ${status.epoch}`, status);
     if (isAchieved(order, status)) return done(status);
     const obstacle = obstacleTo(order, status);
     if (obstacle) return refused(obstacle, status);
@@ -76,11 +76,7 @@
         return done(status);
       case rankEngine.EngineAnswer.OldToken: {
         const end = wire.RankOrderEnd.Superseded;
-        return {
-          end,
-          detail: "engine has seen a higher fencing token",
-          status,
-        };
+        return { end, detail: "old token at engine", status };
       }
       case rankEngine.EngineAnswer.Refused:
         refusedAtSequence = sequence;
@@ -90,11 +86,7 @@
         break;
     }
   }
-  return {
-    end: wire.RankOrderEnd.Unknown,
-    detail: "engine did not answer in time",
-    status,
-  };
+  return { end: wire.RankOrderEnd.Unknown, detail: "no answer", status };
 }
 
 /** Whether an engine is in the state that an order asks for. */
@@ -119,7 +111,7 @@
 
 /**
  * Why an engine in this state can never carry out an order; `undefined` if it
- * can.
+ * can. The text is sent to the leader; "pass" in it means an iteration.
  */
 function obstacleTo(
   order: wire.RankOrder,
@@ -127,16 +119,15 @@
 ): string | undefined {
   switch (order.kind) {
     case wire.RankOrderKind.Prepare:
-      return status.armedVersion > 0 ? "engine is armed" : undefined;
+      return status.armedVersion > 0 ? "armed" : undefined;
     case wire.RankOrderKind.Arm:
       return status.step >= order.step
-        ? `iteration ${order.step} has begun`
+        ? `pass ${order.step} has begun`
         : undefined;
     case wire.RankOrderKind.Hold:
-      if (status.heldStep >= 0)
-        return `engine holds iteration ${status.heldStep}`;
+      if (status.heldStep >= 0) return `holds pass ${status.heldStep}`;
       return status.step >= order.step
-        ? `iteration ${order.step} has begun`
+        ? `pass ${order.step} has begun`
         : undefined;
     case wire.RankOrderKind.Release:
     case wire.RankOrderKind.Disarm:
--- a/packages/daemon/src/rank_group/rank_links.ts
+++ b/packages/daemon/src/rank_group/rank_links.ts
@@ -72,8 +72,8 @@
   readonly #runners = new Map<number, traffic.RunnerEntry>();
   readonly #startedAt = common.now();
   /**
-   * How many counts one reading of a rank has: its experts over all layers. 0
-   * while the model is unknown.
+   * How many counts one reading of a rank's activations consists of: one for
+   * each expert of each layer. 0 while this leader does not know the model.
    */
   countsPerReading = 0;
   /**
@@ -202,7 +202,7 @@
       if (runner.service !== service) continue;
       if (linkedAddresses.has(runner.address)) continue;
       linkedAddresses.add(runner.address);
-      lifeCycle.run("link to rank", async () => {
+      lifeCycle.run("rank", async () => {
         await this.#serveRank(runner, signal);
         linkedAddresses.delete(runner.address);
       });
--- a/packages/daemon/src/rank_group/rank_member.ts
+++ b/packages/daemon/src/rank_group/rank_member.ts
@@ -5,9 +5,12 @@
 import type * as rankEngine from "./rank_engine.ts";
 import * as readingPlan from "./reading_plan.ts";
 
-/** How long the state is read closely after `readClosely`. */
+/** How long the state is read at the close period after `readClosely`. */
 const CLOSE_READING_MILLISECONDS = 100;
-/** Time limit for reading the state closely while the engine loads a map. */
+/**
+ * Time limit for reading the state often because the engine was ordered to load
+ * a map.
+ */
 const LOADING_TIMEOUT_MILLISECONDS = 4_000;
 /** Longest pause before the process checks again what it has to read. */
 const MAX_PAUSE_MILLISECONDS = 300;
@@ -39,8 +42,8 @@
   #highestToken = 0;
   #closelyUntil = 0;
   /**
-   * Version that the engine loads, when it should be loaded, and until when to
-   * read the state closely for it. Times of `common.now`.
+   * Version of the map that the engine loads, when the map should be loaded,
+   * and until when to read the state often to see that. Times of `common.now`.
    */
   #loadingMap = { version: 0, loadedAt: 0, until: 0 };
   /** How often the leader wants activations counted; 0 for never. */
@@ -52,6 +55,10 @@
    * Orders run one at a time, because each first reads the state of the engine.
    */
   #previousOrder: Promise<unknown> = Promise.resolve();
+  /**
+   * Announces each reading of the state or the activations, also one that shows
+   * no change.
+   */
   readonly changed = new common.ChangeNotice();
 
   constructor(
@@ -109,19 +116,26 @@
     }
   }
 
-  /** Activations since the last call, layer after layer. */
+  /**
+   * Returns the activations that were read since the last call, layer after
+   * layer.
+   */
   takeCounts(): number[] {
     const chosen = this.#unreportedCounts;
     this.#unreportedCounts = [];
     return chosen;
   }
 
-  /** Sets how often the activations are read; 0 for never. */
+  /**
+   * Sets how often the activations are read. 0 for never; this also drops those
+   * that were read and not yet reported.
+   */
   setCountPeriod(milliseconds: number): void {
     const before = this.#countMilliseconds;
     this.#countMilliseconds = milliseconds;
     if (milliseconds === 0) this.#unreportedCounts = [];
-    // Counts from the time in which no leader asked for them are out of date.
+    // The activations from the time in which no leader asked for them are out
+    // of date, so the next reading counts as the first.
     if (before === 0 && milliseconds > 0) this.#counts = undefined;
   }
 
@@ -136,7 +150,7 @@
     const { token, epoch, order } = command;
     if (!this.acceptToken(token)) {
       const end = wire.RankOrderEnd.Superseded;
-      const detail = `fencing token ${this.#highestToken} is known`;
+      const detail = `token ${this.#highestToken} is known`;
       return { end, detail, status: this.status };
     }
     const { engine } = this;
@@ -189,7 +203,9 @@
     }, 0);
   }
 
-  /** Reads what is due, and announces it. */
+  /**
+   * Reads the state and the activations if they are due, and announces that.
+   */
   async #read(): Promise<void> {
     const now = common.now();
     const state = this.#readingState(now);
--- a/packages/daemon/src/rank_group/rank_process.ts
+++ b/packages/daemon/src/rank_group/rank_process.ts
@@ -130,7 +130,7 @@
     });
     lifeCycle.own({ name: "links", close: () => accepting.close() });
     lifeCycle.run("watch", (signal) => this.#member.watch(signal));
-    lifeCycle.run("report", (signal) => this.#reportToLeader(signal));
+    lifeCycle.run("tell", (signal) => this.#reportToLeader(signal));
     lifeCycle.run("lead", (signal) => this.#leadWhenLeaderless(signal));
   }
 
