--- a/packages/daemon/src/iteration/iteration_time.ts
+++ b/packages/daemon/src/iteration/iteration_time.ts
@@ -1,6 +1,10 @@
 import type * as traffic from "@geraniumkeel/traffic";
 
-/** Work of one iteration of a group whose ranks advance in lock-step. */
+/**
+ * Work of one iteration of a group whose ranks advance in lock-step. An
+ * iteration is the unit that a leader arms, holds and releases; it consists of
+ * `stepsPerPass` engine steps.
+ */
 export interface IterationWork {
   /** Number of requests in the decoding phase, over all ranks. */
   decoding: number;
@@ -8,10 +12,7 @@
   promptTokens: number;
 }
 
-/**
- * Length of an iteration without work, in milliseconds. An iteration consists
- * of `stepsPerPass` engine steps.
- */
+/** Length of an iteration without work, in milliseconds. */
 export function emptyIterationMilliseconds(shape: traffic.EngineShape): number {
   return shape.stepsPerPass * shape.stepMilliseconds;
 }
--- a/packages/wire/src/compact_rank_heartbeat.ts
+++ b/packages/wire/src/compact_rank_heartbeat.ts
@@ -2,7 +2,10 @@
 import * as messageKind from "./message_kind.ts";
 import type * as rankGroup from "./rank_group.ts";
 
-/** Order of a state's numbers on the wire; whether the group is open precedes them. */
+/**
+ * Order of the numbers of a rank's state on the wire. Before them comes the
+ * number that says whether the group is open.
+ */
 const STATUS_FIELDS = [
   "epoch",
   "active",
@@ -17,13 +20,17 @@
 
 type StatusNumbers = Omit<rankGroup.RankStatus, "open">;
 
-/** Kind, group, token, epoch, rank and size, and whether the group is open. */
+/**
+ * Number of list items before the state's numbers: kind, group, fencing token,
+ * epoch, rank, size, and whether the group is open.
+ */
 const HEAD_LENGTH = 7;
 
 /**
- * What a rank tells its leader as a plain list. The leader of a large group takes in
- * hundreds of them a second: by names a state takes five times the bytes, and more of a
- * small host's processor than what it says.
+ * Writes a rank's heartbeat as a plain list. The leader of a large group
+ * receives hundreds of heartbeats a second. With field names a state takes five
+ * times the bytes, and reading the names takes more processor time of a small
+ * host than the values.
  */
 export function rankHeartbeatToList(
   heartbeat: rankGroup.RankHeartbeat,
@@ -43,7 +50,7 @@
   ];
 }
 
-/** The beat of a list, or `undefined` if it is none. */
+/** Reads a heartbeat from a list; `undefined` if the list contains none. */
 export function rankHeartbeatFromList(
   list: unknown[],
 ): rankGroup.RankHeartbeat | undefined {
