--- a/packages/daemon/src/rank_group/group_leader.ts
+++ b/packages/daemon/src/rank_group/group_leader.ts
@@ -43,8 +43,8 @@
    */
   announceHold: (holder: number, step: number) => void;
   /**
-   * The announcements of held iterations that this process received in this
-   * group epoch.
+   * The notices that this process received in this group epoch, in which a
+   * leader notified all ranks which one is to hold which iteration.
    */
   holdNotices: () => readonly wire.HoldNotice[];
   /**
@@ -94,7 +94,10 @@
     return this.#switching;
   }
 
-  /** Adds the activations that a rank counted, layer after layer. */
+  /**
+   * Adds the activations that a rank counted since its reading before, layer
+   * after layer.
+   */
   addCounts(rank: number, chosen: number[]): void {
     this.parameters.demand.add(rank, chosen, common.now());
   }
@@ -140,18 +143,22 @@
     logger.event(code, { group, epoch, kind, detail });
   }
 
-  /** The map in force, or else the last one prepared, under a new version. */
+  /**
+   * A map for the recovery of a switch, under a new version: the map in force
+   * if it is cached, or else the prepared one if it is, or else the map in
+   * force as read from the ranks.
+   */
   async #fallbackMap(): Promise<recoverSwitch.FallbackMap | undefined> {
-    const { own, cachedMap: rememberedMap } = this.parameters;
+    const { own, cachedMap: cachedMapOf } = this.parameters;
     const { mapVersion = 0, preparedVersion = 0 } = own.status ?? {};
     const map =
-      rememberedMap(mapVersion) ??
-      rememberedMap(preparedVersion) ??
+      cachedMapOf(mapVersion) ??
+      cachedMapOf(preparedVersion) ??
       (await this.#currentMap());
     return map && { version: this.#nextVersion(), map };
   }
 
-  /** Plans a new map if it is time to, and switches to it if it pays. */
+  /** Plans a new map if one is due, and switches to it if it saves enough. */
   async #improveMap(): Promise<void> {
     const { handles, shape, identity } = this.parameters;
     const armed = handles.some(({ status }) => (status?.armedVersion ?? 0) > 0);
--- a/packages/daemon/src/rank_group/leader_follower.ts
+++ b/packages/daemon/src/rank_group/leader_follower.ts
@@ -6,8 +6,8 @@
 import type * as rankMember from "./rank_member.ts";
 
 /**
- * How many announcements of held iterations the process retains, which covers
- * several switches.
+ * How many notices of held iterations the process retains, which covers several
+ * switches.
  */
 const MAX_HOLD_NOTICES = 16;
 
@@ -49,7 +49,7 @@
   #link: wire.Link | undefined;
   readonly #heartbeatRecord = new heartbeatRecord.HeartbeatRecord();
   /**
-   * Announcements of held iterations in the current group epoch, newest last.
+   * Notices of held iterations in the current group epoch, newest last.
    */
   #holdNotices: wire.HoldNotice[] = [];
 
@@ -65,7 +65,7 @@
     this.#link = undefined;
   }
 
-  /** The announcements of held iterations in a group epoch. */
+  /** The notices of held iterations that arrived in a group epoch. */
   holdNoticesOf(epoch: number): wire.HoldNotice[] {
     return this.#holdNotices.filter((notice) => notice.epoch === epoch);
   }
@@ -127,8 +127,8 @@
 
   /**
    * Records which iteration is about to be held, and by which rank. If it is
-   * this rank, the process reads its engine closely, so that the leader soon
-   * sees the hold.
+   * this rank, the process reads the state of its engine often for a moment, so
+   * that the leader soon sees the hold.
    */
   recordHoldNotice(notice: wire.HoldNotice): void {
     const { member } = this.parameters;
--- a/packages/daemon/src/rank_group/linked_rank.ts
+++ b/packages/daemon/src/rank_group/linked_rank.ts
@@ -45,7 +45,7 @@
     readonly leadership: () => Leadership,
   ) {}
 
-  /** The latest state of the rank; `undefined` before the first. */
+  /** The latest state received; `undefined` before the first one. */
   get status(): wire.RankStatus | undefined {
     return this.#status;
   }
--- a/packages/daemon/src/rank_group/order_until_final.ts
+++ b/packages/daemon/src/rank_group/order_until_final.ts
@@ -11,8 +11,9 @@
 }
 
 /**
- * Repeats an idempotent order at one rank until its outcome is known, or
- * `valid` turns false. Returns the last reply.
+ * Repeats an idempotent order at one rank until its outcome is known, or until
+ * `valid` returns false because this process no longer leads. Returns the last
+ * reply.
  */
 export async function orderUntilFinal(parameters: {
   handle: rankHandle.RankHandle;
--- a/packages/daemon/src/rank_group/own_rank.ts
+++ b/packages/daemon/src/rank_group/own_rank.ts
@@ -4,8 +4,10 @@
 import * as linkedRank from "./linked_rank.ts";
 
 /**
- * A leader's handle on the rank beside itself. Orders go through the process's
- * own queue, so that they run one at a time with those of other leaders.
+ * A leader's handle on its own rank: the one that this process runs beside. It
+ * needs no link. Orders go through the queue of this process's `RankMember`,
+ * which also has those that other processes send while they believe that they
+ * lead. So the rank carries out one order at a time, whoever gave it.
  */
 export class OwnRank extends linkedRank.LinkedRank {
   constructor(
@@ -23,6 +25,7 @@
     const outcome = await this.member.execute({ ...leadership, order });
     if (outcome.status) this.updateStatus(outcome.status);
     const kind = wire.MessageKind.RankReply;
+    // The reply crosses no link, so it needs no number to match it by.
     return { kind, question: 0, token: this.member.token, ...outcome };
   }
 
--- a/packages/daemon/src/rank_group/rank_engine.ts
+++ b/packages/daemon/src/rank_group/rank_engine.ts
@@ -10,7 +10,10 @@
    */
   bornAt: number;
   status: wire.RankStatus;
-  /** Number of orders that the engine has begun since it started. */
+  /**
+   * Number of orders that the engine has begun since it started; not related to
+   * the sequences of tokens that an engine runs.
+   */
   sequence: number;
   /** Whether the engine is loading what an order asked for. */
   loading: boolean;
@@ -24,7 +27,10 @@
    * report it.
    */
   bornAt: number;
-  /** Counts, layer after layer and expert after expert. */
+  /**
+   * Number of activations of each expert since the engine started, layer after
+   * layer and expert after expert.
+   */
   chosen: number[];
 }
 
@@ -48,8 +54,9 @@
   token: number;
   epoch: number;
   /**
-   * Number of orders begun so far. An order that arrives late finds a higher
-   * number, and the engine refuses it.
+   * Number of orders that the engine had begun when the sender last read its
+   * state. An engine that counts its orders refuses this one if it has begun
+   * another since, so a copy that arrives late has no effect.
    */
   sequence: number;
 }
@@ -58,9 +65,12 @@
 export interface RankEngine {
   /** Reads identity and state. */
   report(): Promise<neverthrow.Result<RankReport, string>>;
-  /** Reads the activations counted since the engine started. */
+  /** Reads how often each expert was activated since the engine started. */
   chosen(): Promise<neverthrow.Result<ActivationCounts, string>>;
-  /** Reads which experts the rank has loaded under the map in force. */
+  /**
+   * Reads the lists of experts, one for each layer, that the rank has under the
+   * map in force.
+   */
   lists(): Promise<neverthrow.Result<wire.RankLists, string>>;
   /** Has the engine carry out an order if the conditions are still met. */
   order(
--- a/packages/daemon/src/rank_group/rank_handle.ts
+++ b/packages/daemon/src/rank_group/rank_handle.ts
@@ -6,7 +6,7 @@
  */
 export interface RankHandle {
   readonly rank: number;
-  /** The latest state of the rank; `undefined` before the first. */
+  /** The latest state received; `undefined` before the first one. */
   readonly status: wire.RankStatus | undefined;
   /**
    * Sends an order through the process beside the rank, and returns the
--- a/packages/daemon/src/rank_group/recover_switch.ts
+++ b/packages/daemon/src/rank_group/recover_switch.ts
@@ -7,18 +7,20 @@
   /** No rank holds an iteration, so there is nothing to recover. */
   Nothing = "nothing",
   /**
-   * All ranks were armed for the same switch: the iteration was released, and
-   * all use the new map from the armed iteration on.
+   * All ranks were armed for the same switch, so the release of the held
+   * iteration was ordered. All ranks use the new map from the iteration on for
+   * which they are armed.
    */
   RolledForward = "forward",
   /**
-   * No rank is armed any longer: the iteration was released, and all ranks
-   * continue with the map that they had.
+   * No rank is armed any longer, so the release of the held iteration was
+   * ordered. All ranks continue with the map that they had.
    */
   RolledBack = "back",
   /**
-   * The iteration is still held: a rank must answer, or change its state,
-   * first.
+   * The iteration is still held and the recovery has to be repeated: a rank did
+   * not answer or is not in a suitable state, no fallback map is known, or this
+   * process no longer leads.
    */
   Waiting = "waiting",
 }
@@ -30,9 +32,10 @@
 }
 
 /**
- * A map that a rank can be ordered to prepare instead of the one it has
- * prepared, so that it can no longer be armed for the latter. It is a map that
- * the ranks can use without loading anything, under a new version.
+ * A known map under a new version, which the ranks can use without loading
+ * anything. A rank that is ordered to prepare it no longer has the map of the
+ * unfinished switch prepared and cannot be armed for that one. The recovery
+ * arms no rank for the fallback map.
  */
 export interface FallbackMap {
   /** A version that no leader has used in this group before. */
@@ -49,12 +52,15 @@
 /** What the recovery of a switch needs. */
 export interface RecoverSwitchParameters {
   handles: readonly rankHandle.RankHandle[];
-  /** Whether this process still leads this group epoch. */
+  /**
+   * Whether this process still leads this group epoch. If it no longer does,
+   * the recovery stops.
+   */
   valid: () => boolean;
   pause: rankHandle.Pause;
   /**
-   * The announcements of held iterations that this process received in the
-   * current group epoch.
+   * The notices that this process received in the current group epoch, in which
+   * a leader notified all ranks which one is to hold which iteration.
    */
   holdNotices: readonly wire.HoldNotice[];
   /** Creates the fallback map; `undefined` if no map is known. */
@@ -66,19 +72,22 @@
  * iteration, and some ranks are armed for a new map. While the iteration is
  * held, every stream of the group's model stalls. If it were released with only
  * some ranks armed, the ranks would use two maps in one iteration, which must
- * never happen. Three rules prevent both, whichever process recovers the
- * switch, and also when several do so at once:
+ * never happen. Three rules let the iteration be released as soon as that is
+ * safe and not before, whichever process recovers the switch, and also when
+ * several do so at once:
  *
  * - An iteration is released only when all ranks are armed for the same switch,
  *   or when no rank is armed and none can be any more.
  * - Rolling back begins at a rank that is not armed. It is ordered to prepare
- *   another version; after that it can never be armed for the version before,
- *   so no leader can find all ranks armed. Only then are the other ranks
- *   disarmed. If that first rank was armed in the meantime, its engine refuses
- *   the order, and nothing has changed.
- * - A recovery arms no rank. So if the one rank that cannot be reached is the
- *   rank beside the leader that ordered the hold, it is known not to be armed
- *   while any other rank is not: a leader arms its own rank after all others.
+ *   another version. An engine has one prepared map and can be armed only for
+ *   that, so the rank can never be armed for the version before, and no leader
+ *   can find all ranks armed. Only then are the other ranks disarmed. If that
+ *   first rank was armed in the meantime, its engine refuses the order, because
+ *   an armed engine prepares no other map, and nothing has changed.
+ * - A recovery arms no rank, and a leader arms its own rank after all others.
+ *   So while any other rank is not armed, the own rank of the leader that
+ *   ordered the hold is not armed either. If it is the only rank that cannot be
+ *   reached, the switch is rolled back without it.
  */
 export async function recoverSwitch(
   parameters: RecoverSwitchParameters,
@@ -100,7 +109,9 @@
     await release(held, parameters);
     return recoveryOf(SwitchRecoveryKind.RolledForward, "");
   }
-  if (!missing.every((handle) => isArmedLast(handle, held, parameters))) {
+  if (
+    !missing.every((handle) => isOwnRankOfHoldLeader(handle, held, parameters))
+  ) {
     return waitingForRanks(missing);
   }
   return rollBack({ reached, unarmed, held, parameters });
@@ -125,24 +136,36 @@
   const { reached, unarmed, held, parameters } = rollback;
   const fallback = await parameters.fallback();
   if (!fallback)
-    return recoveryOf(SwitchRecoveryKind.Waiting, "no fallback map is known");
+    return recoveryOf(
+      SwitchRecoveryKind.Waiting,
+      "no map to roll back with is known",
+    );
   const isReplaced = await replacePrepared(unarmed, fallback, parameters);
   if (!isReplaced)
-    return recoveryOf(SwitchRecoveryKind.Waiting, "a rank was armed meanwhile");
+    return recoveryOf(
+      SwitchRecoveryKind.Waiting,
+      "an unarmed rank was armed meanwhile, its state is unknown, or the lead was lost",
+    );
   const others = reached.filter((handle) => handle !== unarmed);
   const disarmed = await Promise.all(
-    others.map((handle) => disarmForGood(handle, fallback, parameters)),
+    others.map((handle) =>
+      disarmAndReplacePrepared(handle, fallback, parameters),
+    ),
   );
   if (!disarmed.every(Boolean)) {
-    return recoveryOf(SwitchRecoveryKind.Waiting, "a rank did not answer");
+    return recoveryOf(
+      SwitchRecoveryKind.Waiting,
+      "the lead was lost before all ranks were disarmed",
+    );
   }
   await release(held, parameters);
   return recoveryOf(SwitchRecoveryKind.RolledBack, "");
 }
 
 /**
- * Orders a rank that is not armed to prepare another version. Returns false if
- * the rank is armed, if its state is unknown, or if `valid` turns false first.
+ * Orders a rank to prepare the fallback map. Returns true once the rank reports
+ * that version, or a higher one, as prepared. Returns false if the rank is
+ * armed, if its state is unknown, or if this process stops leading before that.
  */
 async function replacePrepared(
   handle: rankHandle.RankHandle,
@@ -155,7 +178,8 @@
     await handle.refresh();
     const { status } = handle;
     if (!status || status.armedVersion > 0) return false;
-    // A higher version comes from another leader and serves the same purpose.
+    // A higher version was ordered by another leader. The rank can no longer be
+    // armed for the version of the unfinished switch then either.
     if (status.preparedVersion >= version) return true;
     await pause();
   } while (valid());
@@ -163,11 +187,13 @@
 }
 
 /**
- * Disarms a rank permanently. Disarming alone is not enough, because copies of
- * the order to arm may still be in transit; the rank is also ordered to prepare
- * another version. Returns false if `valid` turns false first.
+ * Disarms a rank, and orders it to prepare the fallback map, so that it cannot
+ * be armed for the version before again. Disarming alone is not enough, because
+ * copies of the order to arm may still be in transit. Repeats both until the
+ * rank reports the fallback map, or a higher version, as prepared. Returns
+ * false if this process stops leading before that.
  */
-async function disarmForGood(
+async function disarmAndReplacePrepared(
   handle: rankHandle.RankHandle,
   fallback: FallbackMap,
   parameters: RecoverSwitchParameters,
@@ -197,10 +223,12 @@
 }
 
 /**
- * Whether the leader that ordered the hold arms this rank after all others,
- * because it is its own rank. False if several ranks hold an iteration.
+ * Whether a rank is the own rank of the leader that ordered the hold, which
+ * that leader arms after all other ranks. False if that leader is unknown,
+ * because no notice of the hold was received, and if several ranks hold an
+ * iteration, because they may do so for different leaders.
  */
-function isArmedLast(
+function isOwnRankOfHoldLeader(
   handle: rankHandle.RankHandle,
   held: readonly HeldIteration[],
   { holdNotices }: RecoverSwitchParameters,
--- a/packages/daemon/src/rank_group/switch_group.ts
+++ b/packages/daemon/src/rank_group/switch_group.ts
@@ -206,8 +206,9 @@
  * Holds the first iteration that has certainly not begun. Returns its number,
  * or the reply of the holder if it refused or did not answer. The leader's host
  * sends the order to the holder's engine itself, not through the process beside
- * the holder. A host may freeze right after it sent the order; this way it is
- * not the host that the group waits for.
+ * the holder. A host may freeze right after a process on it sent the order. If
+ * the process beside the holder sent it, that would be the host whose rank the
+ * group waits for.
  */
 async function holdAhead(
   parameters: GroupSwitchParameters,
