--- a/packages/daemon/src/rank_group/count_plan.ts
+++ b/packages/daemon/src/rank_group/count_plan.ts
@@ -1,7 +1,8 @@
 /**
- * Share of the leader's network link that counts may use. With a larger share,
- * states and answers to orders wait behind them, and the group keeps a map that
- * no longer fits demand.
+ * Share of the leader's network link that the ranks may use to report how often
+ * they activated each expert. With a larger share, the states of the ranks and
+ * their replies to the leader's orders wait behind these counts, and the group
+ * keeps a map that no longer fits demand.
  */
 const MAX_LINK_SHARE = 0.35;
 /**
@@ -9,13 +10,18 @@
  * two or more.
  */
 const BYTES_PER_COUNT = 1.7;
-/** How often a rank reports its activations where all ranks may report. */
+/**
+ * How often a rank reads and reports its counts in a group in which all ranks
+ * do. A reading consists of the activations since the reading before.
+ */
 export const COUNT_PERIOD_MILLISECONDS = 100;
 /**
- * How many ranks report where not all may. Together they run enough requests to
- * tell a shift of demand from chance, and any rank runs any kind of request.
+ * How many ranks report if the reports of all ranks would exceed
+ * `MAX_LINK_SHARE`. Any rank runs any kind of request, so the counts of these
+ * ranks represent the group; and together they run enough requests to tell a
+ * shift of demand from chance.
  */
-const MAX_REPORTERS_IN_LARGE_GROUP = 8;
+const MAX_REPORTERS_IF_NOT_ALL = 8;
 
 /** Which ranks report their activations to the leader, and how often. */
 export interface CountPlan {
@@ -24,26 +30,30 @@
 }
 
 /**
- * Plans the reports for groups of any size: as many reporting ranks as the
- * leader's link and processor can handle.
+ * Plans the reports for groups of any size. All ranks report if the leader's
+ * network link can carry that; if not, the first linked ranks do, at a period
+ * that the link can carry.
  */
 export function planCounts(parameters: {
-  /** Ranks that can report, in rising order. */
+  /**
+   * Ranks that can report, because the leader has a link to the process beside
+   * them (its own rank included), in rising order.
+   */
   linkedRanks: readonly number[];
   /**
-   * How many counts one reading has: the experts over all layers. 0 while the
-   * model is unknown.
+   * How many counts a rank reports for one reading: one for each expert of each
+   * layer. 0 while the leader does not know the group's model.
    */
   countsPerReading: number;
   /** Bytes per second that the network link of the leader's host carries. */
   linkBytesPerSecond: number;
 }): CountPlan {
   const { linkedRanks, countsPerReading, linkBytesPerSecond } = parameters;
-  // A leader that does not know the model of its group cannot plan by counts.
-  // If all ranks of a busy group sent them nevertheless, they would fill the
-  // leader's link, and the model, which the leader reads over the same link,
-  // would never arrive. The group would keep its first map, and all streams
-  // would be late.
+  // A leader that does not know the model of its group cannot plan maps from
+  // counts. If all ranks of a busy group sent them nevertheless, they would
+  // fill the leader's network link, and the model, which the leader reads over
+  // the same link, would never arrive. The group would keep the map with which
+  // it started, under which all streams are late.
   if (countsPerReading <= 0) {
     return {
       reporters: new Set(),
@@ -58,7 +68,7 @@
     const reporters = new Set(linkedRanks);
     return { reporters, periodMilliseconds: COUNT_PERIOD_MILLISECONDS };
   }
-  const reporters = new Set(linkedRanks.slice(0, MAX_REPORTERS_IN_LARGE_GROUP));
+  const reporters = new Set(linkedRanks.slice(0, MAX_REPORTERS_IF_NOT_ALL));
   const excess = bytesPerSecond(reporters.size) / maxBytesPerSecond;
   const periodMilliseconds = COUNT_PERIOD_MILLISECONDS * Math.max(1, excess);
   return { reporters, periodMilliseconds: Math.round(periodMilliseconds) };
--- a/packages/daemon/src/rank_group/demand.ts
+++ b/packages/daemon/src/rank_group/demand.ts
@@ -1,7 +1,8 @@
 import * as activationMeter from "./activation_meter.ts";
 
 /**
- * Half-life of the long view. A group runs some fifty streams at once, each on
+ * Half-life of the counts in the long view, the sum of all readings in which
+ * older counts weigh less. A group runs some fifty streams at once, each on
  * one topic for about a second. A shorter half-life shows which streams happen
  * to run, and maps planned for those are changed again and again.
  */
@@ -9,46 +10,56 @@
 /** Age up to which the latest reading of a rank describes current demand. */
 const MAX_READING_AGE_MILLISECONDS = 250;
 /**
- * Distances between the latest readings and the long view from which demand
- * counts as shifted: from 0 to 1, and as a multiple of the usual distance. Both
- * must be reached. A shift of half of the demand shows in full in every reading
- * that begins after it. Chance causes smaller distances, but larger ones the
- * fewer streams run. If such a distance counted as a shift, a small group would
- * plan by the streams of a quarter of a second.
+ * Minimum distance between the latest readings and the long view for a shift of
+ * demand. A distance is the share of the activations, from 0 to 1, in which the
+ * two differ. If half of the demand moves to other experts, every reading that
+ * begins after the shift shows the full difference. Chance causes smaller
+ * distances.
  */
 const MIN_SHIFT_DISTANCE = 0.12;
+/**
+ * The same as a multiple of the usual distance; a shift must reach both. The
+ * fewer streams run, the larger are the distances that chance causes. If these
+ * counted as shifts, a small group would get maps for the streams that happened
+ * to run in a quarter of a second.
+ */
 const MIN_SHIFT_IN_USUAL_DISTANCES = 2;
 /**
- * Usual distance before any was computed, and the weight of the newest distance
- * in it.
+ * The usual distance is a moving average. This is its value before the first
+ * distance is computed.
  */
 const INITIAL_USUAL_DISTANCE = 0.06;
+/** Weight of the newest distance in the usual distance. */
 const NEWEST_DISTANCE_WEIGHT = 0.08;
 /**
  * Time after a detected shift in which only the latest readings are used. The
- * first readings after a shift began before it and half describe the earlier
- * demand. If they stayed in the long view, the map would have to be changed
- * twice.
+ * first readings after a shift began before it, so half of what they contain is
+ * earlier demand. If they stayed in the long view, the map would have to be
+ * changed twice.
  */
 const LATEST_ONLY_MILLISECONDS = 150;
 /**
- * Minimum number of activations, reduced by age, in a view that is planned by.
+ * Minimum number of activations in the long view, where counts are reduced by
+ * their age, for maps to be planned by it; also the minimum in the latest
+ * readings, where they are not, for a shift to be detected.
  */
 const MIN_ACTIVATIONS = 2_000;
 
 /**
- * What one rank counted between its last two readings, and when it was added.
+ * One reading of a rank: the activations that the rank counted since its
+ * reading before, and when they were added here.
  */
 interface RankReading {
+  /** Activations of each expert, layer after layer. */
   chosen: number[];
   at: number;
 }
 
 /**
- * The demand of a group's requests for experts. Normally this is a long view
- * over some seconds; when demand has shifted, the latest readings replace it.
- * Designed for demand that changes every few seconds, for all requests at once,
- * and is stable in between.
+ * How much a group's requests demand each expert. Normally this is the long
+ * view over some seconds; when demand has shifted, the latest reading of each
+ * rank replaces it. Designed for demand that changes every few seconds, for all
+ * requests at the same time, and is stable in between.
  */
 export class Demand {
   readonly #longView: activationMeter.ActivationMeter;
@@ -66,7 +77,7 @@
     });
   }
 
-  /** Demand by layer and expert, in any unit. */
+  /** Demand by layer and expert: activations, reduced by their age. */
   get load(): readonly number[][] {
     return this.#longView.decayedCounts;
   }
@@ -76,17 +87,20 @@
     return this.#longView.weight >= MIN_ACTIVATIONS;
   }
 
-  /** When counts were last added, by the clock of `add`. */
+  /** When counts were last added: the `now` of the last `add`. */
   get addedAt(): number {
     return this.#addedAt;
   }
 
-  /** Distance between the two views when last computed, from 0 to 1. */
+  /**
+   * Distance, from 0 to 1, between the latest readings and the long view when
+   * last computed.
+   */
   get distance(): number {
     return this.#distance;
   }
 
-  /** When a shift was last detected, by the clock of `add`. */
+  /** When a shift was last detected: the `now` of that `detectShift`. */
   get shiftDetectedAt(): number {
     return this.#shiftDetectedAt;
   }
@@ -96,7 +110,10 @@
     return this.#shifts;
   }
 
-  /** Adds the activations that one rank counted, layer after layer. */
+  /**
+   * Adds one reading of a rank: the activations that it counted since its
+   * reading before, layer after layer.
+   */
   add(rank: number, chosen: number[], now: number): void {
     if (chosen.length === 0) return;
     this.#addedAt = now;
@@ -104,13 +121,18 @@
     this.#latestReadings.set(rank, { chosen, at: now });
   }
 
-  /** Replaces the long view by the latest readings if demand has shifted. */
+  /**
+   * Computes the distance, and replaces the long view by the latest readings if
+   * demand has shifted. Replaces it again on each call in the time after a
+   * shift in which only the latest readings are used. Does nothing while the
+   * latest readings contain too few activations.
+   */
   detectShift(now: number): void {
     const latest = this.#latestMeter(now);
     if (latest.weight < MIN_ACTIVATIONS) return;
     this.#distance = activationMeter.distanceOf(latest, this.#longView);
     const sinceDetected = now - this.#shiftDetectedAt;
-    if (this.#isShift(this.#distance)) {
+    if (this.#recordDistance(this.#distance)) {
       if (sinceDetected > LATEST_ONLY_MILLISECONDS) this.#shifts++;
       this.#shiftDetectedAt = now;
     } else if (sinceDetected > LATEST_ONLY_MILLISECONDS) {
@@ -120,21 +142,24 @@
   }
 
   /**
-   * Whether a distance is larger than chance explains. Learns the usual
-   * distance on the way.
+   * Updates the usual distance with a new distance. Returns whether the new one
+   * is larger than chance explains, so that demand has shifted.
    */
-  #isShift(distance: number): boolean {
+  #recordDistance(distance: number): boolean {
     const minDistance = Math.max(
       MIN_SHIFT_DISTANCE,
       this.#usualDistance * MIN_SHIFT_IN_USUAL_DISTANCES,
     );
+    // Of a larger distance, only the part that chance explains counts.
     const ordinary = Math.min(distance, minDistance);
     this.#usualDistance +=
       NEWEST_DISTANCE_WEIGHT * (ordinary - this.#usualDistance);
     return distance >= minDistance;
   }
 
-  /** The latest reading of each rank, without those that are too old. */
+  /**
+   * Sum of the latest readings of all ranks, without those that are too old.
+   */
   #latestMeter(now: number): activationMeter.ActivationMeter {
     const meter = new activationMeter.ActivationMeter(
       this.#longView.parameters,
--- a/packages/daemon/src/rank_group/heartbeat_record.ts
+++ b/packages/daemon/src/rank_group/heartbeat_record.ts
@@ -1,45 +1,51 @@
 import type * as wire from "@geraniumkeel/wire";
 
 /**
- * Longest time between two heartbeats of a rank. Its leader considers a state
- * older than 900 ms out of date.
+ * Longest time between two heartbeats of a rank to its leader. Each heartbeat
+ * contains the state of the rank's engine; the leader considers a state older
+ * than 900 ms out of date.
  */
 const MAX_PAUSE_MILLISECONDS = 250;
 
 /**
- * The state that a rank sent its leader last; decides whether a new one is due
- * for a heartbeat. While an engine loads a map, the process beside it reads its
- * state 25 times a second. If each were sent, the leader of a group of 63 would
- * receive 1,500 states a second, almost all of them the same.
+ * Records the state that a rank last sent its leader, and decides whether to
+ * send a newly read state in a heartbeat. While a map is overdue at an engine,
+ * the process beside it reads the state 25 times a second. If it sent each, the
+ * leader of a group of 63 would receive 1,500 states a second, almost all of
+ * them the same.
  */
 export class HeartbeatRecord {
   #sent: wire.RankStatus | undefined;
   #sentAt = -Infinity;
 
   /**
-   * Whether to send a state now: if it differs in more than the load, or if the
-   * last heartbeat is too long ago. Records the state as sent in that case.
+   * Whether to send a state now: if it differs from the last one in more than
+   * the load and the number of the iteration, or if the last heartbeat is too
+   * long ago. Records the state as sent in that case.
    */
   recordIfDue(status: wire.RankStatus, now: number): boolean {
     const sent = this.#sent;
     const late = now - this.#sentAt >= MAX_PAUSE_MILLISECONDS;
-    if (!late && sent && isSameExceptLoad(sent, status)) return false;
+    if (!late && sent && isSameExceptLoadAndStep(sent, status)) return false;
     this.#sent = status;
     this.#sentAt = now;
     return true;
   }
 
-  /** Forgets what was sent, because another leader has not received it. */
+  /**
+   * Forgets the state that was sent, so that the next one is sent at once. To
+   * be called when the leader changes: the new one has received no state.
+   */
   reset(): void {
     this.#sent = undefined;
   }
 }
 
 /**
- * Whether two states differ at most in the load and the number of the
- * iteration.
+ * Whether two states differ at most in the load (`active` and `waiting`) and in
+ * the number of the iteration (`step`).
  */
-function isSameExceptLoad(
+function isSameExceptLoadAndStep(
   left: wire.RankStatus,
   right: wire.RankStatus,
 ): boolean {
--- a/packages/daemon/src/rank_group/map_planner.ts
+++ b/packages/daemon/src/rank_group/map_planner.ts
@@ -12,9 +12,10 @@
 /** Time after a shift in which a new map is considered at every check. */
 const AFTER_SHIFT_MILLISECONDS = 1_000;
 /**
- * Fixed cost of a switch, in copies: a switch must save at least as much as
- * this many copies must. Sending orders to all ranks and reading them costs as
- * much, and a switch in progress delays the reaction to a shift.
+ * Fixed cost of a switch, in copies. A copy is one expert that one rank loads
+ * for a map. A switch must save at least as much as this many copies must.
+ * Sending orders to all ranks and reading them costs as much, and a switch in
+ * progress delays the reaction to a shift.
  */
 const SWITCH_COST_IN_COPIES = 3;
 /**
--- a/packages/daemon/src/rank_group/reading_plan.ts
+++ b/packages/daemon/src/rank_group/reading_plan.ts
@@ -20,7 +20,7 @@
  */
 const FOLLOWER_PERIOD_MILLISECONDS = 500;
 /**
- * The same for a leader of a group without requests, and for a rank without a
+ * The same for the leader of a group without requests, and for a rank without a
  * leader.
  */
 const CALM_PERIOD_MILLISECONDS = 300;
@@ -33,7 +33,8 @@
 const UNKNOWN_STATE_PERIOD_MILLISECONDS = 100;
 /**
  * The same while the rank holds or is about to hold an iteration, while a map
- * is overdue, and for a leader during a switch.
+ * is overdue, and for a leader during a switch. Reading "closely" means at this
+ * period.
  */
 const CLOSE_PERIOD_MILLISECONDS = 40;
 /**
