--- a/packages/daemon/src/rank_group/copy_cost_test.ts
+++ b/packages/daemon/src/rank_group/copy_cost_test.ts
@@ -72,8 +72,8 @@
 });
 
 // With 63 ranks a copy takes little of one link, and 441 requests gain from it.
-// At the cost for a group of twelve, almost no copy would pay, and the slowest
-// rank would stay at twice the mean.
+// At the cost for a group of twelve, almost no copy would save enough, and the
+// slowest rank would stay at twice the mean.
 test("a copy costs less the more requests gain from it", (t) => {
   const small = copyCost.costOfCopy(SHAPE, 12);
   const large = copyCost.costOfCopy({ ...SHAPE, copyMilliseconds: 14 }, 63);
--- a/packages/daemon/src/rank_group/count_plan_test.ts
+++ b/packages/daemon/src/rank_group/count_plan_test.ts
@@ -3,7 +3,7 @@
 
 const test = ava.default;
 
-/** Links of 5.6 and of 4.2 million bits per second. */
+/** Network links of 5.6 and of 4.2 million bits per second. */
 const LINK_BYTES_PER_SECOND = 700_000;
 const SLOW_LINK_BYTES_PER_SECOND = 525_000;
 
--- a/packages/daemon/src/rank_group/heartbeat_record_test.ts
+++ b/packages/daemon/src/rank_group/heartbeat_record_test.ts
@@ -4,7 +4,7 @@
 
 const test = ava.default;
 
-test("a state that differs only in load is sent four times a second", (t) => {
+test("a state that differs only in load and iteration is sent four times a second", (t) => {
   const record = new heartbeatRecord.HeartbeatRecord();
   let sent = 0;
   for (let now = 0; now < 2_000; now += 40) {
--- a/packages/daemon/src/rank_group/iterations_ahead_test.ts
+++ b/packages/daemon/src/rank_group/iterations_ahead_test.ts
@@ -5,7 +5,9 @@
 
 const ITERATION_MILLISECONDS = 60;
 
-/** The distance after some switches with the given arming times. */
+/**
+ * How many iterations ahead the next switch is after the given arming times.
+ */
 function iterationsAfter(armMilliseconds: number[]): number {
   const ahead = new iterationsAhead.IterationsAhead();
   ahead.noteIteration(10, 0);
--- a/packages/daemon/src/rank_group/map_planner_test.ts
+++ b/packages/daemon/src/rank_group/map_planner_test.ts
@@ -44,6 +44,7 @@
   const planner = new mapPlanner.MapPlanner({
     ranks: RANKS,
     shape: SHAPE,
+    // Longest pause of a stream that still counts as on time.
     gapMilliseconds: 120,
     demand,
   });
@@ -61,8 +62,12 @@
   }
 }
 
-/** Number of experts loaded, map after map, until no further map pays. */
-function copiesUntilBalanced(active: number): number {
+/**
+ * Number of copies, that is of experts loaded, that one map after another
+ * needs, until no further map saves enough. `active`: requests that run at each
+ * rank, of 8 at most.
+ */
+function totalCopies(active: number): number {
   const { planner, demand } = createPlanner();
   addCounts(demand, new common.Random(5), 4, 0);
   let places = initialPlaces();
@@ -81,10 +86,10 @@
   t.false(planner.isDue(0));
 });
 
-// Streams wait for the slowest rank until the next map is in force. So a shift
-// is planned for at the next check; while demand is stable, a new map is
-// considered five times a second.
-test("a map is planned at once after a shift, and seldom while demand is stable", (t) => {
+// Streams wait for the slowest rank until the next map is in force. So a new
+// map is considered at the first check after a shift; while demand is stable,
+// one is considered five times a second.
+test("a new map is due at once after a shift, but not 50 ms after a plan while demand is stable", (t) => {
   const { planner, demand } = createPlanner();
   const random = new common.Random(5);
   let now = 0;
@@ -97,10 +102,11 @@
 });
 
 // In a full group, the next shift would make every iteration longer than the
-// longest pause. In a nearly empty one, a more balanced map makes no answer
-// faster.
-test("a full group loads more experts than one with room", (t) => {
-  const copies = [1, 8].map((active) => copiesUntilBalanced(active));
+// pause that still counts as on time (`gapMilliseconds`). In a nearly empty
+// group, only the worst peaks make answers later, so only the copies that level
+// those are loaded.
+test("a full group loads more experts than a nearly empty one", (t) => {
+  const copies = [1, 8].map((active) => totalCopies(active));
   t.true(copies[0] > 0);
   t.true(copies[1] > copies[0]);
 });
--- a/packages/daemon/src/rank_group/rank_member_test.ts
+++ b/packages/daemon/src/rank_group/rank_member_test.ts
@@ -9,14 +9,22 @@
 
 const TIMEOUT_MILLISECONDS = 5_000;
 
-/** What an engine returns at each reading: its counts, and when it started. */
+/** What an engine returns when its activations are read. */
 interface Readings {
   mapVersion: number;
+  /**
+   * For each reading, how often each expert was activated since the engine
+   * started.
+   */
   counts: number[][];
+  /** For each reading, when the engine started. */
   startTimes?: number[];
 }
 
-/** An engine that returns the given counts, one list at each reading. */
+/**
+ * An engine that returns the given counts, one list at each reading, and the
+ * last list again after that.
+ */
 function engineOf(parameters: Readings): {
   engine: rankEngine.RankEngine;
   allRead: () => boolean;
@@ -55,8 +63,8 @@
 }
 
 /**
- * Sums of the activations that are due to the leader, until all counts were
- * read.
+ * Reads all the given counts, and returns the sum of the activations that a
+ * `RankMember` gives out to be reported to the leader in that time.
  */
 async function reportedCounts(
   t: ava.ExecutionContext,
@@ -77,7 +85,9 @@
   return sums;
 }
 
-test("activations since the last reading are reported", async (t) => {
+// The process does not know how long the engine has counted before the first
+// reading, so it reports only what is added after it.
+test("activations since the first reading are reported, without those before it", async (t) => {
   const counts = [
     [100, 100],
     [110, 100],
@@ -86,9 +96,10 @@
   t.deepEqual(await reportedCounts(t, { mapVersion: 4, counts }), [15, 30]);
 });
 
-// Streams stall under a group's first map until its demand is known. A group
-// that has just begun to run has no old counts, so its first counts must be
-// used.
+// Under the map with which a group starts (`mapVersion` 0), the slowest rank
+// takes almost three times the mean, so the group needs a new map soon. What a
+// newly formed group has counted is recent demand, so the first reading counts
+// as well.
 test("the first counts of a newly formed group are reported", async (t) => {
   const counts = [
     [5, 9],
@@ -97,8 +108,8 @@
   t.deepEqual(await reportedCounts(t, { mapVersion: 0, counts }), [6, 9]);
 });
 
-// A rank that crashed counts from 0 when it is back. The lower numbers must not
-// be taken for negative activations.
+// A restarted engine counts from 0 again. Lower counts than in the reading
+// before must not become negative activations.
 test("counts of a restarted engine are reported in full", async (t) => {
   const counts = [
     [100, 100],
@@ -107,9 +118,10 @@
   t.deepEqual(await reportedCounts(t, { mapVersion: 4, counts }), [2, 7]);
 });
 
-// An engine crashed and came back under the same identity. When it is read
-// again it has counted more than before the crash. The map must not be planned
-// for demand of long ago.
+// An engine crashed, restarted with the same identity, and by the next reading
+// has counted more than before the crash. So only its start time shows the
+// restart. If the counts from before the crash were subtracted, the map would
+// be planned for demand that is distorted by demand of long ago.
 test("counts of an engine with another start time are reported in full", async (t) => {
   const counts = [
     [10, 10],
@@ -122,10 +134,11 @@
   );
 });
 
-// If each rank of a busy group reported everything that it counted while the
-// group had no leader, a new leader's link would be full while the leader has
-// to learn the state of its group.
-test("counts are not reported once a leader asks for none", async (t) => {
+// A leader that does not know the model of its group yet asks all ranks for no
+// counts: it sets their period to 0. If each rank of a busy group reported what
+// it counted while the group had no leader, the new leader's network link would
+// be full while the leader has to learn the state of its group.
+test("counts that were not reported are dropped when a leader asks for none", async (t) => {
   const counts = [[1], [5], [9]];
   const { engine, allRead } = engineOf({ mapVersion: 4, counts });
   const member = new rankMember.RankMember(engine);
@@ -139,8 +152,10 @@
   t.deepEqual(member.takeCounts(), []);
 });
 
-// If maps that were loaded and not used evicted the map in force, the next map
-// would have to be sent in full, and a shift of demand would be answered later.
+// The process beside a rank caches the last maps that its engine was ordered to
+// prepare. A leader sends the next map as changes to the map in force. If maps
+// that were loaded and not used evicted that one, the next map would have to be
+// sent in full, and would come into force later after a shift of demand.
 test("the map in force stays cached while others are loaded and not used", async (t) => {
   const { engine } = engineOf({ mapVersion: 4, counts: [[1]] });
   const member = new rankMember.RankMember({
@@ -162,13 +177,17 @@
 });
 
 const READINGS_WHILE_LOADING = 20;
-/** Readings at the calm period would take 6 s, close ones take 0.8 s. */
+/**
+ * At the period of a rank without a leader, 300 ms, the readings would take
+ * 6 s. At 40 ms, the longest period while a map is loaded, they take 0.8 s.
+ */
 const MAX_LOADING_MILLISECONDS = 3_500;
 
-// An engine does not count loading as being busy. If its state were read at the
-// calm period, a loaded map would be seen up to 0.3 s late. The switch of the
-// group waits for that, and streams wait for a slow rank meanwhile.
-test("an engine that loads a map is read closely", async (t) => {
+// Loading does not make an engine busy, so it needs a rule of its own. If the
+// process read the state every 300 ms, it would see up to 0.3 s late that the
+// map is loaded. The switch of the group cannot go on before that, and in the
+// meantime each stream waits for the slowest rank.
+test("an engine that loads a map is read often", async (t) => {
   let readings = 0;
   const { engine } = engineOf({ mapVersion: 4, counts: [[1]] });
   const read = async () => {
@@ -200,10 +219,10 @@
   t.true(took < MAX_LOADING_MILLISECONDS, `${took} ms`);
 });
 
-// An engine that has switched no longer reports the map as prepared. The
-// process beside each rank must not wait for that, or it would read its engine
+// An engine that has switched to a map no longer reports it as prepared. If the
+// process still waited to see the map prepared, it would read its engine up to
 // 60 times a second for seconds after each switch.
-test("an engine is not read closely for a map that is in force", async (t) => {
+test("an engine is not read often for a map that is in force", async (t) => {
   let readings = 0;
   const { engine } = engineOf({ mapVersion: 5, counts: [[1]] });
   const read = async () => {
@@ -219,6 +238,7 @@
   });
   const stop = new AbortController();
   t.teardown(() => stop.abort());
+  // Readings of the activations are announced by `changed` too; there are none.
   member.setCountPeriod(0);
   void member.watch(stop.signal);
   const kind = wire.RankOrderKind.Prepare as const;
@@ -232,5 +252,7 @@
   const startedAt = common.now();
   await member.changed.next(TIMEOUT_MILLISECONDS, stop.signal);
   t.is(readings, before + 1);
+  // Without a leader the period is 300 ms; while a map is loaded, at most
+  // 40 ms.
   t.true(common.now() - startedAt > 200);
 });
--- a/packages/daemon/src/rank_group/reading_plan_test.ts
+++ b/packages/daemon/src/rank_group/reading_plan_test.ts
@@ -52,14 +52,14 @@
 
 // All ranks of a group wait for the one that is seen last to have loaded its
 // map.
-test("an engine is read when its map should be loaded, and closely from then on", (t) => {
+test("an engine is read when its map should be loaded, and often from then on", (t) => {
   const loading = stateOf({ expectedLoadedAt: NOW + 300 });
   t.is(readingPlan.nextStateReadingAt(loading, NOW), NOW + 300);
   const due = stateOf({ expectedLoadedAt: NOW - 100 });
   t.true(readingPlan.nextStateReadingAt(due, NOW) <= NOW + 15);
 });
 
-test("a rank that holds or is about to hold an iteration is read closely", (t) => {
+test("a rank that holds or is about to hold an iteration is read often", (t) => {
   const announced = stateOf({ closelyUntil: NOW + 50 });
   t.true(readingPlan.nextStateReadingAt(announced, NOW) <= NOW + 40);
   const status = rankFixture.createStatus({ heldStep: 12 });
@@ -68,12 +68,12 @@
 
 // All streams are late under the first map. The group keeps it until its leader
 // sees that it is open and receives counts.
-test("the engines of a group that is not yet open are read closely", (t) => {
+test("the engines of a group that is not yet open are read often", (t) => {
   const status = rankFixture.createStatus({ open: false, mapVersion: 0 });
   t.true(readingPlan.nextStateReadingAt(stateOf({ status }), NOW) <= NOW + 80);
 });
 
-test("a leader reads its engine closely during a switch", (t) => {
+test("a leader reads its engine often during a switch", (t) => {
   const role = readingPlan.GroupRole.Switching;
   t.true(readingPlan.nextStateReadingAt(stateOf({ role }), NOW) <= NOW + 40);
 });
