--- a/packages/wire/src/rank_group.ts
+++ b/packages/wire/src/rank_group.ts
@@ -25,10 +25,10 @@
 }
 
 /**
- * State of a rank's engine, as read from it. An iteration, which `step`,
- * `armedStep` and `heldStep` number, is the unit that a leader arms, holds and
- * releases. It consists of several engine steps: `stepsPerPass` of
- * `traffic.EngineShape`.
+ * State of a rank's engine, as read from it; names call it `status`, comments
+ * the state of the rank. An iteration, which `step`, `armedStep` and `heldStep`
+ * number, is the unit that a leader arms, holds and releases. It consists of
+ * several engine steps: `stepsPerPass` of `traffic.EngineShape`.
  */
 export interface RankStatus {
   epoch: number;
