--- a/packages/daemon/src/entry/restore_rows.ts
+++ b/packages/daemon/src/entry/restore_rows.ts
@@ -26,7 +26,7 @@
     if (!(await lostClaims.gather())) continue;
     known = epoch;
     const claims = await lostClaims.restore();
-    const rows = { claims, quarantine: quarantine.restoreRows() };
+    const rows = { claims, quarantine: quarantine.repairRows() };
     logger.event(common.EventCode.TableRowsRestored, { epoch, rows });
   }
 }
--- a/packages/daemon/src/entry/start_entry.ts
+++ b/packages/daemon/src/entry/start_entry.ts
@@ -176,7 +176,7 @@
   signal: AbortSignal,
 ): Promise<void> {
   const kept = await quarantineRows.read(signal);
-  if (kept) quarantine.restore(kept);
+  if (kept) quarantine.applyStoredReports(kept);
 }
 
 /**
--- a/packages/daemon/src/gateway/gateway.ts
+++ b/packages/daemon/src/gateway/gateway.ts
@@ -208,7 +208,7 @@
     );
     lifeCycle.run("quarantine", async (signal) => {
       const kept = await this.#rows.read(signal);
-      if (kept) this.quarantine.restore(kept);
+      if (kept) this.quarantine.applyStoredReports(kept);
     });
     lifeCycle.run("board", (signal) => this.#keepBoard(signal));
     lifeCycle.run("confirm", (signal) => this.#confirmation.run(signal));
@@ -323,7 +323,7 @@
       if (epoch === known) continue;
       known = epoch;
       if (!sawBegin) continue;
-      const quarantine = this.quarantine.restoreRows();
+      const quarantine = this.quarantine.repairRows();
       const code = common.EventCode.TableRowsRestored;
       logger.event(code, { epoch, rows: { entry: 1, quarantine } });
     }
--- a/packages/daemon/src/quarantine/quarantine.ts
+++ b/packages/daemon/src/quarantine/quarantine.ts
@@ -122,11 +122,11 @@
    */
   answered(request: watchedRequests.WatchedRequest, version: string): void {
     if (this.#ledger.isEmpty) return;
-    const wasOnTrial = this.#watched.isOnTrial(request);
+    const isTrialAnswer = this.#watched.isTrialRequest(request);
     // A request that one version completes may still crash another.
     this.#clear(
       request.fingerprint,
-      (report) => wasOnTrial || report.version === version,
+      (report) => isTrialAnswer || report.version === version,
     );
   }
 
@@ -144,7 +144,7 @@
    * Restores quarantined requests from the rows of the table service, which
    * remain while no entry runs.
    */
-  restore(reports: suspectLedger.CrashReport[]): void {
+  applyStoredReports(reports: suspectLedger.CrashReport[]): void {
     const quarantined = reports.flatMap(({ suspicions }) =>
       suspicions.map(({ fingerprint }) => fingerprint),
     );
@@ -156,7 +156,7 @@
    * those that it has lost, and removes those of released requests. Returns the
    * number of rows that this entry owns and writes or removes.
    */
-  restoreRows(): number {
+  repairRows(): number {
     const now = common.now();
     for (const [fingerprint, at] of this.#released) {
       if (now - at > RELEASE_RETENTION_MILLISECONDS)
@@ -239,16 +239,20 @@
   receive(message: wire.Suspicions, from: string): void {
     const now = common.now();
     const reports = message.ends.map((reported) =>
-      suspicionsMessage.toReport(reported, now),
+      suspicionsMessage.fromWire(reported, now),
     );
     const change = this.#merge(reports, message.held);
     const relayed = this.parameters.relays && change.hasNewFacts ? reports : [];
     // The sender may lack crashes that other entries saw, and so may not know
     // that a request is to be quarantined.
-    const senderKnows = change.quarantined.every((fingerprint) =>
+    const senderQuarantinesAll = change.quarantined.every((fingerprint) =>
       message.held.includes(fingerprint),
     );
-    this.#send(relayed, change.quarantined, senderKnows ? from : undefined);
+    this.#send(
+      relayed,
+      change.quarantined,
+      senderQuarantinesAll ? from : undefined,
+    );
     for (const { life, endedAt, disproved } of reports) {
       if (!disproved) this.parameters.onReportedCrash(life, endedAt);
     }
@@ -332,12 +336,12 @@
 
   #merge(
     reports: suspectLedger.CrashReport[],
-    quarantinedElsewhere: string[] = [],
+    quarantinedAtSource: string[] = [],
   ): suspectLedger.LedgerChange {
     const change = this.#ledger.merge(
       reports,
       common.now(),
-      quarantinedElsewhere,
+      quarantinedAtSource,
     );
     for (const fingerprint of change.quarantined)
       this.#onQuarantined(fingerprint);
--- a/packages/daemon/src/quarantine/quarantine_test.ts
+++ b/packages/daemon/src/quarantine/quarantine_test.ts
@@ -269,7 +269,7 @@
       ],
     };
   });
-  network.at("a").restore(reports);
+  network.at("a").applyStoredReports(reports);
   t.deepEqual(network.hostsQuarantining(), ["a"]);
   network.link("a", "b");
   t.deepEqual(network.hostsQuarantining(), ["a", "b"]);
--- a/packages/daemon/src/quarantine/suspect_ledger.ts
+++ b/packages/daemon/src/quarantine/suspect_ledger.ts
@@ -221,7 +221,7 @@
   merge(
     reports: CrashReport[],
     now: number,
-    quarantinedElsewhere: string[] = [],
+    quarantinedAtSource: string[] = [],
   ): LedgerChange {
     const change: LedgerChange = {
       hasNewFacts: false,
@@ -229,16 +229,16 @@
       stillQuarantined: [],
       released: [],
     };
-    const elsewhere = new Set(quarantinedElsewhere);
+    const atSource = new Set(quarantinedAtSource);
     const touched = new Set<string>();
     for (const report of reports) {
-      if (!isRelevant(report, now, elsewhere)) continue;
+      if (!isRelevant(report, now, atSource)) continue;
       for (const fingerprint of this.#apply(report)) touched.add(fingerprint);
     }
     change.hasNewFacts = touched.size > 0;
     for (const fingerprint of touched) this.#reevaluate(fingerprint, change);
-    for (const fingerprint of elsewhere)
-      this.#quarantineAsElsewhere(fingerprint, change);
+    for (const fingerprint of atSource)
+      this.#quarantineAsAtSource(fingerprint, change);
     this.#enforceLimits(now);
     return change;
   }
@@ -314,7 +314,7 @@
    * Quarantines a request that another entry has in quarantine, if enough
    * crashes are known here.
    */
-  #quarantineAsElsewhere(fingerprint: string, change: LedgerChange): void {
+  #quarantineAsAtSource(fingerprint: string, change: LedgerChange): void {
     if (this.#quarantined.has(fingerprint)) return;
     if (
       this.crashesUnder(fingerprint).length <
--- a/packages/daemon/src/quarantine/suspicions_message.ts
+++ b/packages/daemon/src/quarantine/suspicions_message.ts
@@ -13,7 +13,7 @@
   const now = common.now();
   return {
     kind: wire.MessageKind.Suspicions,
-    ends: reports.map((report) => toReportedCrash(report, now)),
+    ends: reports.map((report) => toWire(report, now)),
     held: quarantined,
   };
 }
@@ -22,7 +22,7 @@
  * Converts a report for the wire. The clocks of two processes cannot be
  * compared, so times are sent as ages in milliseconds.
  */
-function toReportedCrash(
+function toWire(
   report: suspectLedger.CrashReport,
   now: number,
 ): wire.ReportedCrash {
@@ -42,7 +42,7 @@
  * Converts a received report: ages become times by this process's clock. `now`
  * is the time of receipt.
  */
-export function toReport(
+export function fromWire(
   reported: wire.ReportedCrash,
   now: number,
 ): suspectLedger.CrashReport {
--- a/packages/daemon/src/quarantine/watched_requests.ts
+++ b/packages/daemon/src/quarantine/watched_requests.ts
@@ -65,7 +65,7 @@
    * Whether the last trial of this fingerprint runs this request, and not
    * another one with the same fingerprint.
    */
-  isOnTrial(request: WatchedRequest): boolean {
+  isTrialRequest(request: WatchedRequest): boolean {
     return this.#trials.get(request.fingerprint)?.request === request;
   }
 
--- a/packages/daemon/src/quarantine/watched_requests_test.ts
+++ b/packages/daemon/src/quarantine/watched_requests_test.ts
@@ -27,8 +27,8 @@
   const request = requestOf();
   const unwatch = watched.watch(request);
   watched.startTrial(request);
-  t.true(watched.isOnTrial(request));
-  t.false(watched.isOnTrial(requestOf()));
+  t.true(watched.isTrialRequest(request));
+  t.false(watched.isTrialRequest(requestOf()));
   unwatch();
   t.true(watched.hasTrial("f"));
   t.false(watched.hasTrial("g"));
