--- a/packages/daemon/src/quarantine/crash_review.ts
+++ b/packages/daemon/src/quarantine/crash_review.ts
@@ -20,7 +20,7 @@
  * Age of the runner list's proof up to which the list counts as current. The
  * proof is the moment at which the list was last certain to be the newest.
  */
-const MAX_FRESH_PROOF_AGE_MILLISECONDS = 2_000;
+const MAX_PROOF_AGE_MILLISECONDS = 2_000;
 /** Age from which on a crash is no longer compared with the runner list. */
 const MAX_REVIEW_AGE_MILLISECONDS = 60_000;
 
@@ -47,10 +47,10 @@
  */
 export class CrashReview {
   /** Since when the runner list has been current without a gap. */
-  #freshSince: number;
+  #currentSince: number;
 
   constructor(readonly parameters: CrashReviewParameters) {
-    this.#freshSince = parameters.clock();
+    this.#currentSince = parameters.clock();
   }
 
   /**
@@ -74,15 +74,15 @@
    */
   reviewList(list: traffic.RunnerList, proofAge: number): void {
     const now = this.parameters.clock();
-    if (proofAge > MAX_FRESH_PROOF_AGE_MILLISECONDS) this.#freshSince = now;
+    if (proofAge > MAX_PROOF_AGE_MILLISECONDS) this.#currentSince = now;
     // While the store is unreachable no registration expires, not even that of
     // a crashed runner. So the list disproves a crash only after the list has
     // been current for `LISTING_EXPIRY_MILLISECONDS`.
-    const latest = now - LISTING_EXPIRY_MILLISECONDS;
-    if (this.#freshSince > latest) return;
+    const latestCrashTime = now - LISTING_EXPIRY_MILLISECONDS;
+    if (this.#currentSince > latestCrashTime) return;
     const crashed = this.parameters.crashedIncarnations(
       now - MAX_REVIEW_AGE_MILLISECONDS,
-      latest,
+      latestCrashTime,
     );
     if (crashed.length === 0) return;
     const listed = new Set(list.runners.map(traffic.incarnationOf));
--- a/packages/daemon/src/quarantine/quarantine_case.ts
+++ b/packages/daemon/src/quarantine/quarantine_case.ts
@@ -27,16 +27,16 @@
   return {
     fingerprint,
     service,
-    since: timeOfDay(thresholdCrash.endedAt),
+    since: isoTimeOf(thresholdCrash.endedAt),
     millisecondsLeft:
       status.kind === "held" ? Math.round(status.millisecondsLeft) : 0,
     ends: crashes.map(({ runner, version, endedAt, seenBy }) => {
-      return { runner, version, at: timeOfDay(endedAt), seenBy };
+      return { runner, version, at: isoTimeOf(endedAt), seenBy };
     }),
   };
 }
 
 /** Converts a time of this process's monotonic clock to a time of day. */
-function timeOfDay(moment: number): string {
+function isoTimeOf(moment: number): string {
   return new Date(Date.now() - (common.now() - moment)).toISOString();
 }
--- a/packages/daemon/src/quarantine/quarantine_rows.ts
+++ b/packages/daemon/src/quarantine/quarantine_rows.ts
@@ -199,8 +199,8 @@
   fingerprint: string,
   stored: StoredCrash[],
 ): suspectLedger.CrashReport[] {
-  return stored.map(({ endedAt: timeOfDay, ranFor, ...unchanged }) => {
-    const endedAt = common.now() - (Date.now() - timeOfDay);
+  return stored.map(({ endedAt: unixTime, ranFor, ...unchanged }) => {
+    const endedAt = common.now() - (Date.now() - unixTime);
     const startedAt = endedAt - ranFor;
     return {
       ...unchanged,
--- a/packages/daemon/src/quarantine/trial_status_test.ts
+++ b/packages/daemon/src/quarantine/trial_status_test.ts
@@ -22,10 +22,10 @@
 function statusAt(
   now: number,
   times: number[],
-  versions: string[] = ["1"],
+  runnerVersions: string[] = ["1"],
   version = "1",
 ): trialStatus.TrialStatus["kind"] {
-  const versionsInUse = new Set(versions);
+  const versionsInUse = new Set(runnerVersions);
   return trialStatus.trialStatusOf({
     crashes: crashesAt(times, version),
     versionsInUse,
@@ -45,14 +45,14 @@
 // Otherwise a request that still crashes runners would crash one each half
 // minute.
 test("each failed trial delays the next one, with three in a day at most", (t) => {
-  const first = [0, 1_000, 2_000, 40_000];
-  t.is(statusAt(2 * HOUR, first), "held");
-  t.is(statusAt(2 * HOUR + 40_001, first), "on-trial");
-  const second = [...first, 2 * HOUR + 50_000];
-  t.is(statusAt(8 * HOUR, second), "held");
-  t.is(statusAt(9 * HOUR, second), "on-trial");
-  const third = [...second, 9 * HOUR];
-  t.is(statusAt(24 * HOUR, third), "held");
+  const oneFailedTrial = [0, 1_000, 2_000, 40_000];
+  t.is(statusAt(2 * HOUR, oneFailedTrial), "held");
+  t.is(statusAt(2 * HOUR + 40_001, oneFailedTrial), "on-trial");
+  const twoFailedTrials = [...oneFailedTrial, 2 * HOUR + 50_000];
+  t.is(statusAt(8 * HOUR, twoFailedTrials), "held");
+  t.is(statusAt(9 * HOUR, twoFailedTrials), "on-trial");
+  const threeFailedTrials = [...twoFailedTrials, 9 * HOUR];
+  t.is(statusAt(24 * HOUR, threeFailedTrials), "held");
 });
 
 test("a request is tried again once no runner has a version that crashed", (t) => {
