--- a/packages/daemon/src/quarantine/crash_counts.ts
+++ b/packages/daemon/src/quarantine/crash_counts.ts
@@ -14,7 +14,7 @@
   crashes: number;
   /**
    * Size of the largest set of these runs that do not overlap: each run started
-   * only after the crash that ended the one before.
+   * only after the crash that interrupted the run before.
    */
   sequential: number;
 }
--- a/packages/daemon/src/quarantine/crash_detector.ts
+++ b/packages/daemon/src/quarantine/crash_detector.ts
@@ -37,8 +37,8 @@
   /** Whether the runner is listed and not leaving. */
   inUse: (runner: traffic.RunnerEntry) => boolean;
   /**
-   * When an incarnation crashed; `undefined` if no entry has seen a crash of
-   * it.
+   * When an incarnation crashed; `undefined` if no crash of it is recorded, or
+   * if the recorded crash was disproved.
    */
   crashTimeOf: (incarnation: string) => number | undefined;
   /** Called with each crash; each run that a crash explains is passed once. */
--- a/packages/daemon/src/quarantine/crash_review.ts
+++ b/packages/daemon/src/quarantine/crash_review.ts
@@ -1,14 +1,15 @@
 import * as traffic from "@geraniumkeel/traffic";
 
 /**
- * Time after a crash in which bytes that the runner sent before it may still
- * arrive.
+ * Time after a crash in which bytes that the runner sent before the crash may
+ * still arrive.
  */
 const LATE_BYTES_MILLISECONDS = 250;
 /**
- * Shortest time after a crash in which a runner may have restarted under the
- * same identifier. From then on an answer does not show that the crashed
- * incarnation runs.
+ * Shortest time after a crash in which the runner may have restarted under the
+ * same identifier and address. If it does not report its start time,
+ * `incarnationOf` returns the same for both starts. So an answer that arrives
+ * later than this does not show that the crash did not happen.
  */
 const MIN_RESTART_MILLISECONDS = 1_500;
 /**
@@ -21,7 +22,7 @@
  * proof is the moment at which the list was last certain to be the newest.
  */
 const MAX_PROOF_AGE_MILLISECONDS = 2_000;
-/** Age from which on a crash is no longer compared with the runner list. */
+/** Age above which a crash is no longer compared with the runner list. */
 const MAX_REVIEW_AGE_MILLISECONDS = 60_000;
 
 /** What the review of crashes needs of its entry. */
@@ -29,8 +30,8 @@
   /** Monotonic time in milliseconds. */
   clock: () => number;
   /**
-   * When an incarnation crashed; `undefined` if no entry has seen a crash of
-   * it.
+   * When an incarnation crashed; `undefined` if no crash of it is recorded, or
+   * if the recorded crash was disproved.
    */
   crashTimeOf: (incarnation: string) => number | undefined;
   /** Incarnations that crashed between two times, both included. */
@@ -54,9 +55,9 @@
   }
 
   /**
-   * Reviews an answer that arrived from a runner: it disproves a crash if it
-   * came too late to be sent before the crash, and too early for a restarted
-   * runner.
+   * Reviews an answer that arrived from a runner. It disproves a crash if it
+   * arrived too late to have been sent before the crash, and too early to come
+   * from a restarted runner.
    */
   reviewAnswer(runner: traffic.RunnerEntry): void {
     const incarnation = traffic.incarnationOf(runner);
@@ -68,16 +69,18 @@
   }
 
   /**
-   * Reviews the runner list: an incarnation that is still listed has not
-   * crashed. `proofAge` is the time in milliseconds since the proof of the
-   * list.
+   * Reviews the runner list. It disproves the crash of an incarnation that is
+   * still listed, if the crash is at least `LISTING_EXPIRY_MILLISECONDS` ago and
+   * the list has been current for at least this time. `proofAge` is the time in
+   * milliseconds since the proof of the list.
    */
   reviewList(list: traffic.RunnerList, proofAge: number): void {
     const now = this.parameters.clock();
     if (proofAge > MAX_PROOF_AGE_MILLISECONDS) this.#currentSince = now;
-    // While the store is unreachable no registration expires, not even that of
-    // a crashed runner. So the list disproves a crash only after the list has
-    // been current for `LISTING_EXPIRY_MILLISECONDS`.
+    // The registrations of runners that crashed up to this time have expired,
+    // unless the table service, which stores them, was unreachable: then no
+    // registration expires, not even that of a crashed runner. So the list
+    // disproves a crash only if it has been current since this time.
     const latestCrashTime = now - LISTING_EXPIRY_MILLISECONDS;
     if (this.#currentSince > latestCrashTime) return;
     const crashed = this.parameters.crashedIncarnations(
--- a/packages/daemon/src/quarantine/crash_review_test.ts
+++ b/packages/daemon/src/quarantine/crash_review_test.ts
@@ -75,8 +75,8 @@
   t.deepEqual(disproved, [traffic.incarnationOf(RUNNER)]);
 });
 
-// While the store is unreachable no registration expires, not even that of a
-// crashed runner.
+// While the table service is unreachable no registration expires, not even that
+// of a crashed runner.
 test("a list that was not current for long enough does not disprove a crash", (t) => {
   const { review, disproved, advance } = createFixture();
   advance(8_000);
