--- a/packages/daemon/src/quarantine/fingerprint.ts
+++ b/packages/daemon/src/quarantine/fingerprint.ts
@@ -8,9 +8,17 @@
   /** Account of the caller; empty if none is required. */
   account: string;
   method: string;
+  /**
+   * Host that the caller addressed, not the machine of an entry; empty if it is
+   * to make no difference.
+   */
   host: string;
   /** Path and query. */
   target: string;
+  /**
+   * The complete body, or its beginning if `LazyFingerprint.hashRest` passes on
+   * the rest.
+   */
   body: Uint8Array;
 }
 
@@ -30,8 +38,10 @@
 }
 
 /**
- * A fingerprint that is computed at its first use. While no runner crashes,
- * nothing uses it, so requests cost no hashing.
+ * A fingerprint that is computed at its first use. While no run is interrupted
+ * and no crash is recorded, nothing uses the fingerprint, so a request whose
+ * body is complete costs no hashing. A body that `hashRest` passes on is hashed
+ * as it arrives.
  */
 export class LazyFingerprint {
   #value: string | undefined;
@@ -40,8 +50,11 @@
   constructor(readonly identity: RequestIdentity) {}
 
   /**
-   * The fingerprint. While `hashRest` hashes a body, it covers the part that
-   * has arrived so far.
+   * The fingerprint. If `hashRest` passes on a body, the fingerprint covers the
+   * part of the body that had arrived at the first use of `value`. So two equal
+   * requests have different fingerprints if the first uses come at different
+   * points of the body. While any request for a service is in quarantine, an
+   * entry therefore reads a body completely before it sends the request.
    */
   get value(): string {
     this.#value ??= digestOf(this.#hash ?? startHash(this.identity));
--- a/packages/daemon/src/quarantine/fingerprint_test.ts
+++ b/packages/daemon/src/quarantine/fingerprint_test.ts
@@ -22,8 +22,9 @@
   t.is(one.length, 22);
 });
 
-// A caller must get neither requests of another account refused, nor its own
-// different requests.
+// If a request is quarantined, all requests with its fingerprint are refused.
+// Neither requests of other accounts nor different requests of the same caller
+// may be among them.
 test("requests that differ in any part have different fingerprints", (t) => {
   const changes: Partial<fingerprint.RequestIdentity>[] = [
     {},
@@ -31,8 +32,11 @@
     { method: "GET" },
     { host: "i" },
     { target: "/r/1?x" },
+    // The last letter of "prompt" is changed.
     { body: Buffer.from("prompu") },
     { body: Buffer.from("prompt ") },
+    // The text of one part is in another part, at last together with the
+    // quotation marks and the comma that separate parts in the hashed text.
     { account: "", method: "a" },
     { account: 'a","POST', method: "" },
   ];
