--- a/packages/daemon/src/quarantine/quarantine.ts
+++ b/packages/daemon/src/quarantine/quarantine.ts
@@ -11,16 +11,20 @@
 /** Largest number of runs that one log line lists. */
 const MAX_LOGGED_RUNS = 16;
 /**
- * Time after which a caller is to retry a request that may be tried, but not
- * here and now: its fingerprint is on trial, or another entry runs its trials.
+ * Time after which a caller is to send a quarantined request again if a trial
+ * of it is allowed, but not here and now: its trial is under way, its last
+ * trial started only just before, or another entry runs its trials.
  */
 const TRIAL_RETRY_MILLISECONDS = 1_000;
 /**
- * Time for which a released request is remembered, so that `restoreRows` can
- * remove its row if the table service brings the row back.
+ * Time for which a released request is remembered. If the table service is
+ * restored from a copy that still has the request's row, `repairRows` can then
+ * remove the row again.
  */
 const RELEASE_RETENTION_MILLISECONDS = 60_000;
-/** Largest number of suspicions that an entry reports to a newly linked one. */
+/**
+ * Largest number of suspicions that an entry reports to a newly linked entry.
+ */
 const MAX_INITIAL_SUSPICIONS = 2_000;
 
 /** What the quarantine needs of its entry. */
@@ -31,7 +35,8 @@
   entries: () => string[];
   /**
    * Versions of the runners that a service has now; empty if it has no runners
-   * or their versions are unknown.
+   * or if this entry does not know their versions. A runner that does not
+   * report its version counts with an empty string.
    */
   versionsOf: (service: string) => ReadonlySet<string>;
   /** Sends a message to all linked entries except one. */
@@ -54,9 +59,16 @@
 
 /**
  * Quarantines requests that crash the runners that run them. Each entry reports
- * to the others which requests were under way when a runner crashed. A request
- * that was under way at several crashes, with no complete answer since, is sent
- * to no runner, except for trials that show whether it still crashes runners.
+ * to the others which requests were under way when a runner crashed; a request
+ * that was under way at a crash is a suspicion in the report of the crash. A
+ * request that was under way at several crashes, with no complete answer since,
+ * is quarantined: it is sent to no runner, except for trials that show whether
+ * it still crashes runners.
+ *
+ * A complete answer or an operator clears a request of crashes, and a crash is
+ * disproved if its runner is found to run. A request is released from
+ * quarantine once too few crashes count against it, or if too many requests are
+ * in quarantine.
  */
 export class Quarantine {
   readonly #ledger = new suspectLedger.SuspectLedger();
@@ -84,8 +96,10 @@
   }
 
   /**
-   * Milliseconds until a request may be sent to a runner; 0 if it may be sent
-   * now.
+   * Milliseconds after which a caller is to send a request again; 0 if the
+   * request may be sent to a runner now. For a request that may be tried, but
+   * not here and now, this is `TRIAL_RETRY_MILLISECONDS`, after which this
+   * entry may still not send it.
    */
   remainingMilliseconds(request: watchedRequests.WatchedRequest): number {
     if (this.#ledger.quarantined.size === 0) return 0;
@@ -101,9 +115,10 @@
   }
 
   /**
-   * Returns the same as `remainingMilliseconds`; called just before a request
-   * is sent. If a quarantined request may be sent, this starts its trial: while
-   * it is under way, no other request with its fingerprint may be sent.
+   * Admits a request just before it is sent to a runner: returns 0 if the
+   * request may be sent, else the milliseconds of `remainingMilliseconds`. If
+   * the request is in quarantine and may be sent, this starts its trial: while
+   * the trial is under way, no other request with its fingerprint may be sent.
    */
   admit(request: watchedRequests.WatchedRequest): number {
     const milliseconds = this.remainingMilliseconds(request);
@@ -117,13 +132,16 @@
 
   /**
    * Records that a runner with this version gave a complete answer to a
-   * request. This clears the request of crashes of the same version. The answer
-   * to a trial clears it of all crashes.
+   * request. This clears the request of crashes of runners with this version.
+   * The answer to a trial clears the request of all crashes: otherwise a
+   * request that is tried because the crashed version was replaced would stay
+   * in quarantine for the crashes of the old version.
    */
   answered(request: watchedRequests.WatchedRequest, version: string): void {
     if (this.#ledger.isEmpty) return;
     const isTrialAnswer = this.#watched.isTrialRequest(request);
-    // A request that one version completes may still crash another.
+    // A request that runners of one version complete may still crash runners of
+    // another.
     this.#clear(
       request.fingerprint,
       (report) => isTrialAnswer || report.version === version,
@@ -131,8 +149,8 @@
   }
 
   /**
-   * Releases a request that an operator considers harmless; returns false if it
-   * is not in quarantine.
+   * Releases a request that an operator considers harmless, by clearing it of
+   * all crashes; returns false if it is not in quarantine.
    */
   lift(fingerprint: string): boolean {
     if (!this.#ledger.quarantined.has(fingerprint)) return false;
@@ -141,8 +159,8 @@
   }
 
   /**
-   * Restores quarantined requests from the rows of the table service, which
-   * remain while no entry runs.
+   * Applies reports that were read from the rows of the table service, and
+   * quarantines their requests. The rows remain while no entry runs.
    */
   applyStoredReports(reports: suspectLedger.CrashReport[]): void {
     const quarantined = reports.flatMap(({ suspicions }) =>
@@ -201,8 +219,8 @@
   }
 
   /**
-   * Records that an incarnation still runs, so that its reported crash did not
-   * happen, and reports this to the other entries.
+   * Records that the reported crash of an incarnation did not happen, because
+   * the incarnation still runs, and reports this to the other entries.
    */
   disproveCrash(incarnation: string): void {
     const report = this.#ledger.crashReportOf(incarnation);
@@ -224,8 +242,8 @@
   }
 
   /**
-   * When an incarnation crashed; `undefined` if no entry has seen a crash of
-   * it, or if it was disproved.
+   * When an incarnation crashed; `undefined` if no crash of it is recorded, or
+   * if the recorded crash was disproved.
    */
   crashTimeOf(incarnation: string): number | undefined {
     return this.#ledger.crashTimeOf(incarnation);
@@ -233,8 +251,8 @@
 
   /**
    * Applies a message of another entry. Sends other entries what they may not
-   * know: reports to relay, and all crashes of requests that the message put in
-   * quarantine.
+   * know: reports to relay, and all crashes during runs of the requests that
+   * the message put in quarantine.
    */
   receive(message: wire.Suspicions, from: string): void {
     const now = common.now();
@@ -243,8 +261,9 @@
     );
     const change = this.#merge(reports, message.held);
     const relayed = this.parameters.relays && change.hasNewFacts ? reports : [];
-    // The sender may lack crashes that other entries saw, and so may not know
-    // that a request is to be quarantined.
+    // If the sender has all these requests in quarantine, nothing is sent back
+    // to it. Otherwise it may lack crashes that other entries saw, and so may
+    // not know that a request is to be quarantined.
     const senderQuarantinesAll = change.quarantined.every((fingerprint) =>
       message.held.includes(fingerprint),
     );
@@ -280,7 +299,10 @@
     );
   }
 
-  /** The quarantine's part of the state dump. */
+  /**
+   * The quarantine's part of the state dump. `held` lists all quarantined
+   * requests, including those that may be tried.
+   */
   describe(): unknown {
     return { ...this.#ledger.size, held: this.cases() };
   }
@@ -313,7 +335,11 @@
     return common.rendezvous(fingerprint, entries()) === host;
   }
 
-  /** Clears a request of all crashes for which `appliesTo` returns true. */
+  /**
+   * Clears a request of all crashes for which `appliesTo` returns true. The
+   * reports from `reportsOn` have suspicions of this request only, so no other
+   * request is cleared.
+   */
   #clear(
     fingerprint: string,
     appliesTo: (report: { version: string }) => boolean,
@@ -390,8 +416,9 @@
   }
 
   /**
-   * Sends reports, and for each quarantined request all crashes during its
-   * runs, so that receivers can quarantine it as well.
+   * Sends reports, and for each request in `quarantined`, which are those that
+   * a merge has just put in quarantine, all crashes during its runs, so that
+   * receivers can quarantine it as well.
    */
   #send(
     reports: suspectLedger.CrashReport[],
--- a/packages/daemon/src/quarantine/runner_crash.ts
+++ b/packages/daemon/src/quarantine/runner_crash.ts
@@ -6,7 +6,9 @@
   /** The caller's own identifier of the request. */
   request: string;
   fingerprint: string;
-  /** When it was sent to the runner, by this process's monotonic clock. */
+  /**
+   * When the request was sent to the runner, by this process's monotonic clock.
+   */
   startedAt: number;
 }
 
--- a/packages/daemon/src/quarantine/suspect_ledger.ts
+++ b/packages/daemon/src/quarantine/suspect_ledger.ts
@@ -18,7 +18,9 @@
 /** A request that was under way on a runner when the runner crashed. */
 export interface Suspicion {
   fingerprint: string;
-  /** When it was sent to the runner, by this process's monotonic clock. */
+  /**
+   * When the request was sent to the runner, by this process's monotonic clock.
+   */
   startedAt: number;
   /**
    * Whether a complete answer or an operator has cleared the request of this
@@ -53,7 +55,7 @@
 export interface LedgerChange {
   /** Whether the reports changed what the ledger records about any request. */
   hasNewFacts: boolean;
-  /** Requests that the merge put in quarantine. */
+  /** Requests that the merge put in quarantine, without those already there. */
   quarantined: string[];
   /** Requests that stay in quarantine and about which more is known now. */
   stillQuarantined: string[];
@@ -75,6 +77,7 @@
 export interface CrashUnderRequest extends crashCounts.CrashedRun {
   runner: string;
   version: string;
+  /** Hosts of the entries that saw the crash. */
   seenBy: string[];
 }
 
@@ -174,8 +177,8 @@
   }
 
   /**
-   * Returns all crashes during runs of a request, with the suspicion of this
-   * request only.
+   * Returns reports of all crashes during runs of a request, each with the
+   * suspicion of this request only.
    */
   reportsOn(fingerprint: string): CrashReport[] {
     const crashes = this.#crashesByFingerprint.get(fingerprint) ?? [];
@@ -183,9 +186,9 @@
   }
 
   /**
-   * Returns reports with at most `maxSuspicions` suspicions: those of requests
-   * that were under way at the most crashes come first, then those of the
-   * latest crashes.
+   * Returns reports with at most `maxSuspicions` suspicions. Suspicions of
+   * requests with many crashes take precedence over those of requests with few;
+   * for equal numbers, those of later crashes take precedence.
    */
   mostSuspected(maxSuspicions: number): CrashReport[] {
     const pairs = [...this.#crashesByFingerprint].flatMap(
@@ -212,11 +215,11 @@
   }
 
   /**
-   * Merges reports of this entry or of another. `quarantinedElsewhere` are
-   * fingerprints of requests that the other entry has in quarantine. The ledger
-   * quarantines them as well if it knows enough crashes, even if the runs
-   * overlap by its own clock: clocks differ, and all entries are to treat a
-   * request alike.
+   * Merges reports from this entry, another entry or the rows of the table
+   * service. `quarantinedAtSource` are fingerprints of requests that the other
+   * entry or the rows have in quarantine. The ledger quarantines them as well
+   * if it knows enough crashes, even if the runs overlap by its own clock:
+   * clocks differ, and all entries are to treat a request alike.
    */
   merge(
     reports: CrashReport[],
@@ -311,8 +314,8 @@
   }
 
   /**
-   * Quarantines a request that another entry has in quarantine, if enough
-   * crashes are known here.
+   * Quarantines a request that another entry or the table service has in
+   * quarantine, if enough crashes are known here.
    */
   #quarantineAsAtSource(fingerprint: string, change: LedgerChange): void {
     if (this.#quarantined.has(fingerprint)) return;
@@ -396,7 +399,7 @@
 
 /**
  * Whether a crash is recent enough to be recorded, or concerns a request that
- * the sender of the report has in quarantine.
+ * the source of the report has in quarantine.
  */
 function isRelevant(
   { endedAt, suspicions }: CrashReport,
--- a/packages/daemon/src/quarantine/trial_status.ts
+++ b/packages/daemon/src/quarantine/trial_status.ts
@@ -1,9 +1,9 @@
 import type * as suspectLedger from "./suspect_ledger.ts";
 
 /**
- * Time from the last crash until a request is first tried again. A request that
- * was under way at three crashes by chance runs again after this time; one that
- * crashes its runners crashes a fourth.
+ * Time from the last crash until a quarantined request may first be tried. A
+ * request that was under way at three crashes by chance runs again after this
+ * time; one that crashes its runners crashes a fourth.
  */
 const FIRST_QUARANTINE_MILLISECONDS = 30_000;
 /**
@@ -18,11 +18,17 @@
  */
 const LATER_QUARANTINE_SPANS = 3;
 
-/** Whether a quarantined request may be tried again. */
+/**
+ * Whether a quarantined request may be tried again. The request is in
+ * quarantine in both cases.
+ */
 export type TrialStatus =
-  /** It is sent to no runner for this time. */
+  /** It may not be tried, and so is sent to no runner, for this time. */
   | { kind: "held"; millisecondsLeft: number }
-  /** One run at a time may show whether it still crashes runners. */
+  /**
+   * It may be tried, whether or not a trial is under way: one run at a time may
+   * show whether it still crashes runners.
+   */
   | { kind: "on-trial" };
 
 /**
@@ -35,7 +41,8 @@
   crashes: suspectLedger.CrashUnderRequest[];
   /**
    * Versions of the runners that the service has now; empty if it has no
-   * runners or their versions are unknown.
+   * runners or if the entry does not know their versions. A runner that does
+   * not report its version counts with an empty string.
    */
   versionsInUse: ReadonlySet<string>;
   /** Current time in milliseconds, by the clock of `crashes`. */
@@ -52,8 +59,8 @@
 
 /**
  * Time from the last crash to the next trial. A crash at least
- * `FIRST_QUARANTINE_MILLISECONDS` after the crash that put the request in
- * quarantine counts as a failed trial.
+ * `FIRST_QUARANTINE_MILLISECONDS` after the third crash, the first that can put
+ * the request in quarantine, counts as a failed trial.
  */
 function quarantineMillisecondsOf(
   crashes: suspectLedger.CrashUnderRequest[],
--- a/packages/daemon/src/quarantine/watched_requests.ts
+++ b/packages/daemon/src/quarantine/watched_requests.ts
@@ -51,8 +51,8 @@
   }
 
   /**
-   * Whether a request with this fingerprint is on trial, or started a trial
-   * within `MIN_TRIAL_INTERVAL_MILLISECONDS`.
+   * Whether a trial of a request with this fingerprint is under way, or started
+   * less than `MIN_TRIAL_INTERVAL_MILLISECONDS` ago.
    */
   hasTrial(fingerprint: string): boolean {
     const trial = this.#trials.get(fingerprint);
@@ -62,8 +62,8 @@
   }
 
   /**
-   * Whether the last trial of this fingerprint runs this request, and not
-   * another one with the same fingerprint.
+   * Whether the last trial of this fingerprint was started with this request
+   * object, and not with another one that has the same fingerprint.
    */
   isTrialRequest(request: WatchedRequest): boolean {
     return this.#trials.get(request.fingerprint)?.request === request;
