--- a/packages/daemon/src/quarantine/quarantine_case.ts
+++ b/packages/daemon/src/quarantine/quarantine_case.ts
@@ -7,11 +7,19 @@
 export interface QuarantineCase {
   fingerprint: string;
   service: string;
-  /** Time of day of the crash that put it in quarantine. */
+  /**
+   * Date and time (ISO 8601, UTC) of the crash with which the number of crashes
+   * reached `QUARANTINE_THRESHOLD.crashes`. If the runs until then overlapped,
+   * only a later crash put the request in quarantine.
+   */
   since: string;
   /** Milliseconds until it may be tried again; 0 if it may be now. */
   millisecondsLeft: number;
-  /** Crashes of runners that ran the request; `at` is a time of day. */
+  /**
+   * Crashes of runners that ran the request. `at` is the date and time of the
+   * crash (ISO 8601, UTC), and `seenBy` lists the hosts of the entries that saw
+   * the crash.
+   */
   ends: { runner: string; version: string; at: string; seenBy: string[] }[];
 }
 
@@ -23,6 +31,7 @@
   status: trialStatus.TrialStatus;
 }): QuarantineCase {
   const { fingerprint, service, crashes, status } = parameters;
+  // A quarantined request has at least this number of crashes.
   const thresholdCrash = crashes[crashCounts.QUARANTINE_THRESHOLD.crashes - 1];
   return {
     fingerprint,
@@ -36,7 +45,7 @@
   };
 }
 
-/** Converts a time of this process's monotonic clock to a time of day. */
+/** Converts a time of this process's monotonic clock to an ISO 8601 time. */
 function isoTimeOf(moment: number): string {
   return new Date(Date.now() - (common.now() - moment)).toISOString();
 }
--- a/packages/daemon/src/quarantine/quarantine_rows.ts
+++ b/packages/daemon/src/quarantine/quarantine_rows.ts
@@ -6,28 +6,33 @@
 /** First key after all keys that begin with the prefix. */
 const KEY_RANGE_END = "quarantine0";
 /**
- * Largest number of rows in one read. No more requests are in quarantine at
- * once.
+ * Largest number of rows in one read. It is also the largest number of requests
+ * in quarantine at once.
  */
 const MAX_ROWS = 1_000;
 const FIRST_PAUSE_MILLISECONDS = 100;
 const MAX_PAUSE_MILLISECONDS = 5_000;
-/** Time for which a failed write is retried. */
+/**
+ * Time for which a task retries the writes of one row, from the start of the
+ * task. A write that replaces a pending one has only the rest of this time.
+ */
 const WRITE_TIMEOUT_MILLISECONDS = 60_000;
 
-/** A runner's crash in a row. */
+/** One crash of a runner, as the row of a request stores it. */
 interface StoredCrash {
+  /** Identifies the incarnation of the runner that crashed. */
   life: string;
   runner: string;
   service: string;
   version: string;
   /**
-   * Time of day of the crash, in milliseconds since the Unix epoch: a time of a
+   * When the runner crashed, in milliseconds since the Unix epoch: a time of a
    * monotonic clock means nothing to another process.
    */
   endedAt: number;
   /** Milliseconds from the start of the run to the crash. */
   ranFor: number;
+  /** Hosts of the entries that saw the crash. */
   seenBy: string[];
 }
 
@@ -52,7 +57,10 @@
 
   constructor(readonly parameters: QuarantineRowsParameters) {}
 
-  /** Stores the crashes for which a request is in quarantine. */
+  /**
+   * Stores the crashes for which a request is in quarantine. The reports must
+   * have suspicions of this request only.
+   */
   async store(
     fingerprint: string,
     reports: suspectLedger.CrashReport[],
@@ -100,8 +108,10 @@
   }
 
   /**
-   * Replaces the pending write of a row. If no task writes this row yet, this
-   * call does so until the last pending write is committed.
+   * Replaces the pending write of a row. If a task is writing this row already,
+   * returns at once and leaves the write to that task. Otherwise returns when
+   * the last pending write is committed, when the writes have failed for
+   * `WRITE_TIMEOUT_MILLISECONDS`, or when `signal` aborts.
    */
   async #write(
     write: backingServices.Write,
@@ -152,7 +162,8 @@
 
 /**
  * Returns functions that store and remove rows in background tasks, so that no
- * request waits for the table service.
+ * request waits for the table service. The task that stores a row is named
+ * "keep quarantine", the one that removes a row "drop quarantine".
  */
 export function inBackground(
   rows: QuarantineRows,
@@ -175,7 +186,8 @@
 
 /**
  * Converts a report to the crashes of a row, without cleared suspicions and
- * disproved crashes.
+ * disproved crashes. The suspicions must be of the row's request only, as the
+ * crashes of a row have no fingerprint: it is in the key of the row.
  */
 function toStored(report: suspectLedger.CrashReport): StoredCrash[] {
   const { life, runner, service, version, seenBy, endedAt } = report;
@@ -193,7 +205,8 @@
 }
 
 /**
- * Converts the crashes of a row to reports by this process's monotonic clock.
+ * Converts the crashes of a row to reports, with times of this process's
+ * monotonic clock.
  */
 function fromStored(
   fingerprint: string,
--- a/packages/daemon/src/quarantine/suspicion_limit.ts
+++ b/packages/daemon/src/quarantine/suspicion_limit.ts
@@ -1,13 +1,18 @@
 import * as common from "@geraniumkeel/common";
 import type * as runnerCrash from "./runner_crash.ts";
 
-/** Largest number of runs that an entry reports as suspicions in one window. */
+/**
+ * Largest number of runs that an entry records and reports as suspicions in one
+ * window.
+ */
 const MAX_SUSPICIONS_PER_WINDOW = 500;
 const WINDOW_MILLISECONDS = 1_000;
 
 /**
- * Limits how many suspicions an entry reports to the others. When all hosts
- * fail at once, every request under way is interrupted by a crash.
+ * Limits how many suspicions an entry records and reports to the others for the
+ * crashes that interrupt its own runs. The entry drops the suspicions above the
+ * limit. When all hosts fail at once, every request under way is interrupted by
+ * a crash.
  */
 export class SuspicionLimit {
   #windowStart = -Infinity;
@@ -15,8 +20,8 @@
 
   /**
    * Returns as many of the runs as may be reported now and counts them against
-   * the limit. Runs of requests that were under way at the most crashes come
-   * first.
+   * the limit. The runs are in descending order of the number of crashes during
+   * runs of their request.
    */
   selectRuns(
     runs: runnerCrash.InterruptedRun[],
--- a/packages/daemon/src/quarantine/suspicions_message.ts
+++ b/packages/daemon/src/quarantine/suspicions_message.ts
@@ -3,8 +3,11 @@
 import type * as suspectLedger from "./suspect_ledger.ts";
 
 /**
- * Builds the message in which an entry reports crashes, and the fingerprints of
- * requests that it has quarantined, to other entries.
+ * Builds the message in which an entry reports crashes to other entries.
+ * `quarantined` are fingerprints of requests that the entry has in quarantine:
+ * all of them in the first message on a new link, later only those that it has
+ * just quarantined. So a fingerprint that is missing from `held` does not show
+ * that its request was released.
  */
 export function toMessage(
   reports: suspectLedger.CrashReport[],
@@ -19,8 +22,9 @@
 }
 
 /**
- * Converts a report for the wire. The clocks of two processes cannot be
- * compared, so times are sent as ages in milliseconds.
+ * Converts a report to the form in which entries send it, `wire.ReportedCrash`.
+ * The clocks of two processes cannot be compared, so times are sent as ages in
+ * milliseconds.
  */
 function toWire(
   report: suspectLedger.CrashReport,
@@ -39,8 +43,8 @@
 }
 
 /**
- * Converts a received report: ages become times by this process's clock. `now`
- * is the time of receipt.
+ * Converts a received report to the form that this process records: ages become
+ * times of this process's clock. `now` is the time of receipt.
  */
 export function fromWire(
   reported: wire.ReportedCrash,
