--- a/packages/daemon/src/quarantine/quarantine_rows_test.ts
+++ b/packages/daemon/src/quarantine/quarantine_rows_test.ts
@@ -69,14 +69,14 @@
   const [read] = (await rows.read(signal)) ?? [];
   const { endedAt, suspicions } = report;
   t.deepEqual({ ...read, endedAt, suspicions }, report);
-  // Times of day are rounded to milliseconds.
+  // Stored times are rounded to milliseconds.
   t.true(Math.abs(read.endedAt - endedAt) < 1_000);
   t.is(read.suspicions[0].fingerprint, "f");
   t.is(Math.round(read.endedAt - read.suspicions[0].startedAt), 50);
 });
 
-// A retried write must not restore the row of a request that was released in
-// the meantime.
+// A retried write must not store the row of a request again that was released
+// in the meantime.
 test("a row that is removed while its write is retried stays removed", async (t) => {
   const table = new MemoryTable(1);
   const rows = createRows(table);
--- a/packages/daemon/src/quarantine/quarantine_test.ts
+++ b/packages/daemon/src/quarantine/quarantine_test.ts
@@ -121,7 +121,8 @@
   t.is(network.rows.size, 1);
 });
 
-// Otherwise entries without a link to each other would still send the request.
+// Entries that did not learn of each other's crashes would send the request to
+// more runners.
 test("two entries without a link learn of each other's crashes through a third", (t) => {
   const network = new Network(["a", "b", "c"]);
   network.unlinkedPairs.add("a b");
@@ -195,7 +196,7 @@
   t.is(network.at("b").remainingMilliseconds(other), 0);
 });
 
-test("an operator's release lifts a quarantine at all entries, and late reports do not restore it", (t) => {
+test("a release by an operator ends a quarantine at all entries, and late reports do not renew it", (t) => {
   const network = new Network(["a", "b", "c"]);
   const crashes = ["i-1", "i-2", "i-3"].map((name) => crashOf(name));
   for (const crash of crashes) network.at("a").recordCrash(crash);
--- a/packages/daemon/src/quarantine/trial_status_test.ts
+++ b/packages/daemon/src/quarantine/trial_status_test.ts
@@ -33,18 +33,19 @@
   }).kind;
 }
 
-// A request that was under way at three crashes by chance must not be refused
-// for long.
-test("a request is tried again half a minute after its last crash", (t) => {
+// A request that was under way at crashes by chance must not be refused for
+// long. The fourth crash, 20 ms after the third, comes too early to count as a
+// failed trial, so the half minute begins at this crash.
+test("a request may be tried again half a minute after its last crash", (t) => {
   const times = [0, 1_000, 2_000, 2_020];
   t.is(statusAt(2_020, times), "held");
   t.is(statusAt(32_000, times), "held");
   t.is(statusAt(32_021, times), "on-trial");
 });
 
-// Otherwise a request that still crashes runners would crash one each half
-// minute.
-test("each failed trial delays the next one, with three in a day at most", (t) => {
+// If failed trials did not delay the next one, a request that still crashes
+// runners would crash one each half minute.
+test("each failed trial delays the next one, with three failed trials in a day at most", (t) => {
   const oneFailedTrial = [0, 1_000, 2_000, 40_000];
   t.is(statusAt(2 * HOUR, oneFailedTrial), "held");
   t.is(statusAt(2 * HOUR + 40_001, oneFailedTrial), "on-trial");
@@ -55,14 +56,15 @@
   t.is(statusAt(24 * HOUR, threeFailedTrials), "held");
 });
 
-test("a request is tried again once no runner has a version that crashed", (t) => {
+test("a request may be tried again once no runner has a version that crashed", (t) => {
   const times = [0, 1_000, 2_000];
   t.is(statusAt(5_000, times, ["1", "2"]), "held");
   t.is(statusAt(5_000, times, ["2"]), "on-trial");
 });
 
-// While no runner is listed, nothing shows that the version was replaced.
-test("a request stays in quarantine if its service has no runners or no known versions", (t) => {
+// While no runner is listed, nothing shows that the version was replaced. An
+// empty string stands for the version of a runner that does not report one.
+test("a request in quarantine may not be tried yet if its service has no runners or no known versions", (t) => {
   const times = [0, 1_000, 2_000];
   t.is(statusAt(5_000, times, []), "held");
   t.is(statusAt(5_000, times, [""], ""), "held");
--- a/packages/daemon/src/quarantine/watched_requests_test.ts
+++ b/packages/daemon/src/quarantine/watched_requests_test.ts
@@ -20,8 +20,11 @@
   t.is(stopped, 2);
 });
 
-// If a trial's runner has no room, each request that arrives would otherwise
-// start another trial, and each trial reaches a runner.
+// A trial ends without a result if its runner has no room or its caller
+// disconnects. Without a pause, each request with the fingerprint that arrives
+// would then start another trial and so be sent to a runner. Here `unwatch`
+// ends the trial, which still counts for 10 s from its start unless it is
+// forgotten. Only the request object that started the trial is its request.
 test("a trial without a result is not followed by another at once", (t) => {
   const watched = new watchedRequests.WatchedRequests();
   const request = requestOf();
