--- a/packages/daemon/src/gateway/gateway.ts
+++ b/packages/daemon/src/gateway/gateway.ts
@@ -226,7 +226,7 @@
     );
     lifeCycle.run("quarantine", async (signal) => {
       const restored = await this.#rows.read(signal);
-      if (restored) this.quarantine.restore(restored);
+      if (restored) this.quarantine.applyStoredReports(restored);
     });
     lifeCycle.run("board", (signal) => this.#updateTracker(signal));
     lifeCycle.run("confirm", (signal) => this.#confirmation.run(signal));
@@ -354,7 +354,7 @@
       if (epoch === knownEpoch) continue;
       knownEpoch = epoch;
       if (!sawBegin) continue;
-      const quarantine = this.quarantine.restoreRows();
+      const quarantine = this.quarantine.repairRows();
       const code = common.EventCode.TableRowsRestored;
       logger.event(code, { epoch, rows: { entry: 1, quarantine } });
     }
