--- a/packages/daemon/src/admission/bucket_registry.ts
+++ b/packages/daemon/src/admission/bucket_registry.ts
@@ -41,7 +41,7 @@
     }
     if (!this.parameters.rateOf(account)) return undefined;
     const bucket = new creditBucket.CreditBucket(() =>
-      this.#sharedRate(account),
+      this.#grantedRate(account),
     );
     this.#buckets.set(account, { bucket, usedAt: common.now() });
     return bucket;
@@ -55,7 +55,7 @@
     }
   }
 
-  #sharedRate(account: string): creditBucket.CreditRate {
+  #grantedRate(account: string): creditBucket.CreditRate {
     const rate = this.parameters.rateOf(account);
     if (!rate) return REMOVED_ACCOUNT_RATE;
     const share = this.parameters.share();
--- a/packages/daemon/src/admission/rate_window.ts
+++ b/packages/daemon/src/admission/rate_window.ts
@@ -35,8 +35,8 @@
   #advance(): void {
     const elapsed = this.clock() - this.#startedAt;
     if (elapsed < this.windowMilliseconds) return;
-    const isPreviousWindowAdjacent = elapsed < 2 * this.windowMilliseconds;
-    this.#previousCount = isPreviousWindowAdjacent ? this.#currentCount : 0;
+    const isCountRecent = elapsed < 2 * this.windowMilliseconds;
+    this.#previousCount = isCountRecent ? this.#currentCount : 0;
     this.#currentCount = 0;
     this.#startedAt = this.clock();
   }
--- a/packages/daemon/src/admission/service_queue.ts
+++ b/packages/daemon/src/admission/service_queue.ts
@@ -70,7 +70,7 @@
   #virtualTime = 0;
   #length = 0;
   /** Number of waiting requests of less than the default urgency. */
-  #lessUrgentCount = 0;
+  #lowUrgencyCount = 0;
 
   constructor(
     readonly parameters: {
@@ -117,7 +117,8 @@
     request: WaitingRequest<R>,
   ): Promise<QueueOutcome<R>> | QueueOutcome<R> {
     if (request.signal.aborted) return { kind: "caller-gone" };
-    if (!request.wasAdmitted) this.parameters.reserve?.count(request.urgency);
+    if (!request.wasAdmitted)
+      this.parameters.reserve?.countRequest(request.urgency);
     if (this.#maySkipQueue(request)) {
       const runner = request.takeRunner(this.#capacityShare(request));
       if (runner !== undefined) return this.#admit(runner, 0);
@@ -126,14 +127,14 @@
       const retryAfterMilliseconds = this.#nextRetryDelay(this.estimatedWait);
       return { kind: "full", retryAfterMilliseconds };
     }
-    const waitMilliseconds = this.#expectedWait(request);
+    const waitMilliseconds = this.#expectedWaitOf(request);
     if (this.#now() + waitMilliseconds > request.deadline) {
-      const retryDelayMilliseconds = this.#nextRetryDelay(waitMilliseconds);
+      const pacedDelayMilliseconds = this.#nextRetryDelay(waitMilliseconds);
       return {
         kind: "too-late",
         retryAfterMilliseconds: Math.max(
           waitMilliseconds,
-          retryDelayMilliseconds,
+          pacedDelayMilliseconds,
         ),
       };
     }
@@ -146,7 +147,7 @@
    */
   admitWaiting(): void {
     if (this.#length === 0) return;
-    this.#dropExpired();
+    this.#removeExpired();
     while (this.#admitNext());
   }
 
@@ -167,7 +168,7 @@
    * Milliseconds that a new request would wait. Under fair queueing it waits
    * for the requests of its own account, and for as many of each other account.
    */
-  #expectedWait(request: WaitingRequest<R>): number {
+  #expectedWaitOf(request: WaitingRequest<R>): number {
     const ownCount = this.#flows.get(request.account)?.length ?? 0;
     let requestsAhead = 0;
     for (const flow of this.#flows.values()) {
@@ -185,9 +186,9 @@
    */
   #maySkipQueue({ urgency }: WaitingRequest<R>): boolean {
     if (this.#length === 0) return true;
-    const onlyLessUrgent = this.#lessUrgentCount === this.#length;
-    if (!onlyLessUrgent || isLessUrgent(urgency)) return false;
-    return this.parameters.reserve?.expected ?? false;
+    const onlyLowUrgency = this.#lowUrgencyCount === this.#length;
+    if (!onlyLowUrgency || isLowUrgency(urgency)) return false;
+    return this.parameters.reserve?.expectsSurge ?? false;
   }
 
   #capacityShare({ urgency }: WaitingRequest<R>): number {
@@ -200,9 +201,9 @@
    * none, or if the new request is itself less urgent.
    */
   #makeRoomFor({ urgency }: WaitingRequest<R>): boolean {
-    if (this.#lessUrgentCount === 0 || isLessUrgent(urgency)) return false;
+    if (this.#lowUrgencyCount === 0 || isLowUrgency(urgency)) return false;
     const longestFlow = [...this.#flows.values()]
-      .filter((flow) => isLessUrgent(flow.last?.urgency ?? 0))
+      .filter((flow) => isLowUrgency(flow.last?.urgency ?? 0))
       .reduce((left, right) => (right.length > left.length ? right : left));
     const { last: evicted } = longestFlow;
     if (!evicted) return false;
@@ -222,18 +223,18 @@
       .filter((flow) => flow.length > 0)
       .sort((left, right) => left.startTag - right.startTag);
     let skippedAccounts = 0;
-    let isReducedCapacityFull = false;
+    let isUnreservedCapacityFull = false;
     for (const flow of flows) {
       if (skippedAccounts === MAX_SKIPPED_ACCOUNTS) return false;
       const request = flow.head;
       if (!request) continue;
       const capacityShare = this.#capacityShare(request);
-      if (capacityShare < 1 && isReducedCapacityFull) continue;
+      if (capacityShare < 1 && isUnreservedCapacityFull) continue;
       const runner = request.takeRunner(capacityShare);
       if (runner === undefined) {
         // A request that may use only a part of the capacity does not count as
         // skipped: many of them must not hide one that may use all of it.
-        if (capacityShare < 1) isReducedCapacityFull = true;
+        if (capacityShare < 1) isUnreservedCapacityFull = true;
         else skippedAccounts++;
         continue;
       }
@@ -252,10 +253,10 @@
   }
 
   #insert(
-    waiting: WaitingRequest<R>,
+    enteringRequest: WaitingRequest<R>,
     resolve: (outcome: QueueOutcome<R>) => void,
   ): void {
-    const { account } = waiting;
+    const { account } = enteringRequest;
     const flow =
       this.#flows.get(account) ??
       new accountFlow.AccountFlow(this.#virtualTime);
@@ -267,17 +268,19 @@
       if (this.#remove(flow, request)) request.finish({ kind: "caller-gone" });
     };
     const request: QueuedRequest<R> = {
-      ...waiting,
+      ...enteringRequest,
       queuedAt: this.#now(),
       finish: (outcome) => {
-        waiting.signal.removeEventListener("abort", onCallerGone);
+        enteringRequest.signal.removeEventListener("abort", onCallerGone);
         resolve(outcome);
       },
     };
-    waiting.signal.addEventListener("abort", onCallerGone, { once: true });
+    enteringRequest.signal.addEventListener("abort", onCallerGone, {
+      once: true,
+    });
     flow.add(request);
     this.#length++;
-    if (isLessUrgent(request.urgency)) this.#lessUrgentCount++;
+    if (isLowUrgency(request.urgency)) this.#lowUrgencyCount++;
     this.parameters.onWaiting?.();
   }
 
@@ -287,7 +290,7 @@
   ): boolean {
     if (!flow.remove(request)) return false;
     this.#length--;
-    if (isLessUrgent(request.urgency)) this.#lessUrgentCount--;
+    if (isLowUrgency(request.urgency)) this.#lowUrgencyCount--;
     return true;
   }
 
@@ -295,7 +298,7 @@
    * Refuses the requests whose deadline has passed and drops the flows that are
    * empty and whose start tag is not ahead of the virtual time.
    */
-  #dropExpired(): void {
+  #removeExpired(): void {
     const now = this.#now();
     for (const [account, flow] of this.#flows) {
       const expired = flow.requests.filter(
@@ -312,7 +315,7 @@
   }
 }
 
-function isLessUrgent(urgency: number): boolean {
+function isLowUrgency(urgency: number): boolean {
   return urgency > surgeReserve.DEFAULT_URGENCY;
 }
 
--- a/packages/daemon/src/admission/service_queue_test.ts
+++ b/packages/daemon/src/admission/service_queue_test.ts
@@ -67,12 +67,13 @@
 /** A reserve of half the capacity that expects a surge. */
 function reserveDuringSurge(): surgeReserve.SurgeReserve {
   let wallMilliseconds = 0;
-  const share = () => 0.5;
+  const reservedShare = () => 0.5;
   const wallClock = () => wallMilliseconds;
-  const reserve = new surgeReserve.SurgeReserve({ share, wallClock });
+  const reserve = new surgeReserve.SurgeReserve({ reservedShare, wallClock });
   for (; wallMilliseconds < HOUR_MILLISECONDS; wallMilliseconds += 1_000) {
-    const rate = wallMilliseconds < 60_000 ? 50 : 5;
-    for (let count = 0; count < rate; count++) reserve.count(0);
+    const requestsInSecond = wallMilliseconds < 60_000 ? 50 : 5;
+    for (let count = 0; count < requestsInSecond; count++)
+      reserve.countRequest(0);
   }
   return reserve;
 }
--- a/packages/daemon/src/admission/surge_reserve.ts
+++ b/packages/daemon/src/admission/surge_reserve.ts
@@ -26,12 +26,12 @@
   /** Wall-clock start of the interval whose requests are being counted. */
   #startedAt: number;
   #requestCount = 0;
-  #expected = false;
+  #expectsSurge = false;
 
   constructor(
     readonly parameters: {
       /** Share of each runner's capacity that is reserved, from 0 to 1. */
-      share: () => number;
+      reservedShare: () => number;
       /** Wall-clock time in milliseconds; `Date.now` if omitted. */
       wallClock?: () => number;
       /** Called when a surge becomes expected, and when it no longer is. */
@@ -43,24 +43,24 @@
   }
 
   /** Whether a surge is expected now or soon. */
-  get expected(): boolean {
+  get expectsSurge(): boolean {
     this.#advance();
-    return this.#expected;
+    return this.#expectsSurge;
   }
 
   /**
    * Counts a request that arrives. Less urgent requests are ignored: they would
    * have capacity reserved against themselves.
    */
-  count(urgency: number): void {
+  countRequest(urgency: number): void {
     this.#advance();
     if (urgency <= DEFAULT_URGENCY) this.#requestCount++;
   }
 
   /** Share of each runner's capacity that a request may use, from 0 to 1. */
   capacityShare(urgency: number): number {
-    if (urgency <= DEFAULT_URGENCY || !this.expected) return 1;
-    return 1 - this.parameters.share();
+    if (urgency <= DEFAULT_URGENCY || !this.expectsSurge) return 1;
+    return 1 - this.parameters.reservedShare();
   }
 
   /**
@@ -87,19 +87,19 @@
     }
     this.#requestCount = 0;
     this.#startedAt = currentStart;
-    const expected = this.#forecast.expectsSurge(
+    const expectsSurge = this.#forecast.expectsSurge(
       currentStart,
       LEAD_MILLISECONDS,
     );
-    if (expected === this.#expected) return;
-    this.#expected = expected;
-    this.parameters.onChange?.(expected);
+    if (expectsSurge === this.#expectsSurge) return;
+    this.#expectsSurge = expectsSurge;
+    this.parameters.onChange?.(expectsSurge);
   }
 
   /** Adds the requests of one interval to the forecast. */
-  #observe(count: number, startedAt: number): void {
+  #observe(requestCount: number, startedAt: number): void {
     const seconds = surgeForecast.INTERVAL_MILLISECONDS / 1_000;
-    this.#forecast.observe(count / seconds, startedAt);
+    this.#forecast.observe(requestCount / seconds, startedAt);
   }
 }
 
--- a/packages/daemon/src/admission/surge_reserve_test.ts
+++ b/packages/daemon/src/admission/surge_reserve_test.ts
@@ -18,17 +18,18 @@
   let wallMilliseconds = 0;
   const changes: boolean[] = [];
   const reserve = new surgeReserve.SurgeReserve({
-    share: () => RESERVED_SHARE,
+    reservedShare: () => RESERVED_SHARE,
     wallClock: () => wallMilliseconds,
     onChange: (expected) => changes.push(expected),
   });
   for (let second = 0; second < 3_600; second++) {
     wallMilliseconds = second * SECOND_MILLISECONDS;
-    const rate =
+    const requestsInSecond =
       wallMilliseconds < MINUTE_MILLISECONDS
         ? requestsPerSecond.surge
         : requestsPerSecond.quiet;
-    for (let count = 0; count < rate; count++) reserve.count(3);
+    for (let count = 0; count < requestsInSecond; count++)
+      reserve.countRequest(3);
   }
   return { reserve, moveClockTo: (to) => (wallMilliseconds = to), changes };
 }
@@ -64,13 +65,14 @@
 test("less urgent requests do not count as a surge", (t) => {
   let wallMilliseconds = 0;
   const reserve = new surgeReserve.SurgeReserve({
-    share: () => RESERVED_SHARE,
+    reservedShare: () => RESERVED_SHARE,
     wallClock: () => wallMilliseconds,
   });
   for (let second = 0; second < 3_600; second++) {
     wallMilliseconds = second * SECOND_MILLISECONDS;
-    const rate = wallMilliseconds < MINUTE_MILLISECONDS ? 50 : 5;
-    for (let count = 0; count < rate; count++) reserve.count(LOW_URGENCY);
+    const requestsInSecond = wallMilliseconds < MINUTE_MILLISECONDS ? 50 : 5;
+    for (let count = 0; count < requestsInSecond; count++)
+      reserve.countRequest(LOW_URGENCY);
   }
   wallMilliseconds = HOUR_MILLISECONDS;
   t.is(reserve.capacityShare(LOW_URGENCY), 1);
--- a/packages/daemon/src/entry/create_context.ts
+++ b/packages/daemon/src/entry/create_context.ts
@@ -177,7 +177,7 @@
         const limit = () =>
           keeper.view?.service(service)?.queueLength ?? DEFAULT_QUEUE_LENGTH;
         const reserve = new surgeReserve.SurgeReserve({
-          share: () => keeper.view?.preset.surgeReserve ?? 0,
+          reservedShare: () => keeper.view?.preset.surgeReserve ?? 0,
           onChange: (expected) => {
             const code = expected
               ? common.EventCode.SurgeExpected
--- a/packages/daemon/src/forecast/expert_load_forecast.ts
+++ b/packages/daemon/src/forecast/expert_load_forecast.ts
@@ -56,11 +56,11 @@
       time <= untilMilliseconds;
       time += intervalMilliseconds
     ) {
-      const known =
+      const intervalLoad =
         this.#intervalLoads[
           intervalOfHour.intervalOfHour(time, INTERVALS_PER_HOUR)
         ];
-      if (known) comingLoads.push(known);
+      if (intervalLoad) comingLoads.push(intervalLoad);
     }
     if (!this.#recentLoad) return undefined;
     const loads = [this.#recentLoad, ...comingLoads];
@@ -76,12 +76,14 @@
 
 /** Moving average: moves each number by `weight` towards the new one. */
 function blend(
-  before: number[][] | undefined,
-  now: number[][],
+  average: number[][] | undefined,
+  newest: number[][],
   weight: number,
 ): number[][] {
-  if (!before) return now.map((layer) => [...layer]);
-  return before.map((layer, index) =>
-    layer.map((value, expert) => value + weight * (now[index][expert] - value)),
+  if (!average) return newest.map((layer) => [...layer]);
+  return average.map((layer, index) =>
+    layer.map(
+      (value, expert) => value + weight * (newest[index][expert] - value),
+    ),
   );
 }
--- a/packages/daemon/src/operator/describe_entry.ts
+++ b/packages/daemon/src/operator/describe_entry.ts
@@ -83,7 +83,7 @@
         {
           waiting: queue.length,
           estimatedWait: queue.estimatedWait,
-          surgeExpected: queue.parameters.reserve?.expected ?? false,
+          surgeExpected: queue.parameters.reserve?.expectsSurge ?? false,
         },
       ]),
     ),
--- a/packages/daemon/src/routing/choose_rank.ts
+++ b/packages/daemon/src/routing/choose_rank.ts
@@ -64,7 +64,7 @@
       timeModel.predictMilliseconds(rank, work),
     );
   }
-  const choices: (RankChoice & { score: number })[] = [];
+  const scoredRanks: (RankChoice & { score: number })[] = [];
   let bestScore = Infinity;
   const iterations = Math.max(size.expectedTokens, 1);
   for (let index = 0; index < candidates.length; index++) {
@@ -78,14 +78,14 @@
       0,
       rankMilliseconds - slowestMilliseconds,
     );
-    const roundTripPerIteration =
+    const roundTripMillisecondsPerIteration =
       (2 * candidate.distanceMilliseconds) / iterations;
     const score =
       rankMilliseconds +
       GROWTH_WEIGHT * growthMilliseconds +
-      roundTripPerIteration;
+      roundTripMillisecondsPerIteration;
     bestScore = Math.min(bestScore, score);
-    choices.push({
+    scoredRanks.push({
       index,
       iterationMilliseconds: slowestMilliseconds,
       growthMilliseconds,
@@ -93,9 +93,11 @@
       score,
     });
   }
-  if (choices.length === 0) return undefined;
+  if (scoredRanks.length === 0) return undefined;
   const scoreLimit = bestScore + NEAR_BEST_SHARE * slowestMilliseconds;
-  const nearBest = choices.filter((choice) => choice.score <= scoreLimit);
+  const nearBest = scoredRanks.filter(
+    (scoredRank) => scoredRank.score <= scoreLimit,
+  );
   return random.pick(nearBest);
 }
 
--- a/packages/daemon/src/routing/prefix_index.ts
+++ b/packages/daemon/src/routing/prefix_index.ts
@@ -55,7 +55,7 @@
    * Estimates the tokens of the longest prefix in the runner's cache, at 4
    * characters per token.
    */
-  countCachedTokens(runner: string, blocks: string[]): number {
+  countPrefixTokens(runner: string, blocks: string[]): number {
     const cached = this.#cachedBlocks.get(runner);
     if (!cached) return 0;
     let count = 0;
--- a/packages/daemon/src/routing/router.ts
+++ b/packages/daemon/src/routing/router.ts
@@ -220,7 +220,7 @@
         prefillTokens: load.prefillTokens + pendingTokens,
       },
       eligible: this.#isEligible(runner, request),
-      prefixTokens: this.#prefixes.countCachedTokens(
+      prefixTokens: this.#prefixes.countPrefixTokens(
         host.name,
         request.prefixBlocks,
       ),
--- a/packages/stand_ins/src/measure/measure_reserve.ts
+++ b/packages/stand_ins/src/measure/measure_reserve.ts
@@ -134,8 +134,8 @@
   wallClock: () => number,
 ): surgeReserve.SurgeReserve | undefined {
   if (policy === ReservePolicy.Always) return undefined;
-  const share = () => SHARES[policy];
-  return new surgeReserve.SurgeReserve({ share, wallClock });
+  const reservedShare = () => SHARES[policy];
+  return new surgeReserve.SurgeReserve({ reservedShare, wallClock });
 }
 
 function always({ urgency }: { urgency?: number }): number {
