--- a/packages/daemon/src/admission/service_queue_test.ts
+++ b/packages/daemon/src/admission/service_queue_test.ts
@@ -4,6 +4,10 @@
 
 const test = ava.default;
 
+/**
+ * Requests that can run at once. The tests enter the requests "1" to "4" to use
+ * all of it.
+ */
 const CAPACITY = 4;
 const LOW_URGENCY = 6;
 const HOUR_MILLISECONDS = 3_600_000;
@@ -16,7 +20,7 @@
     change?: Partial<serviceQueue.WaitingRequest<true>>,
   ) => void;
   outcomes: Map<string, string>;
-  /** Completes this many running requests and admits waiting ones. */
+  /** Completes this many running requests, then admits waiting ones. */
   releaseCapacity: (requests: number) => Promise<void>;
 }
 
@@ -64,7 +68,12 @@
   };
 }
 
-/** A reserve of half the capacity that expects a surge. */
+/**
+ * Returns a reserve that expects a surge and then reserves half of the
+ * capacity. It has counted the requests of an hour, ten times as many per
+ * second in the first minute as later. Its clock stays at the start of the next
+ * hour. The requests have urgency 0, since low-urgency ones are not counted.
+ */
 function reserveDuringSurge(): surgeReserve.SurgeReserve {
   let wallMilliseconds = 0;
   const reservedShare = () => 0.5;
@@ -78,8 +87,8 @@
   return reserve;
 }
 
-// A batch job has filled all capacity but the reserve for the surge, and more
-// of its requests wait. An interactive request must not wait behind them.
+// Two requests of a batch job use the capacity that is not reserved for the
+// surge, and two more wait. An interactive request must not wait behind them.
 test("the surge reserve lets a request of default urgency go first", (t) => {
   const { enter, outcomes, queue } = fixture({ surge: true });
   for (const name of ["a", "b", "c", "d"]) {
@@ -91,7 +100,9 @@
   t.is(queue.length, 2);
 });
 
-test("many less urgent accounts do not hide one of default urgency", async (t) => {
+// Eight accounts with low-urgency requests are ahead of the interactive one,
+// more than `MAX_SKIPPED_ACCOUNTS`.
+test("many low-urgency requests do not keep one of default urgency from a runner", async (t) => {
   const { enter, outcomes, releaseCapacity } = fixture({ surge: true });
   for (const name of ["1", "2", "3", "4"]) enter(name);
   for (let account = 0; account < 8; account++) {
@@ -104,7 +115,7 @@
   t.is(outcomes.get("interactive"), "admitted");
 });
 
-test("without a surge less urgent requests may use all capacity", (t) => {
+test("without a surge low-urgency requests may use all capacity", (t) => {
   const { enter, queue } = fixture();
   for (const name of ["a", "b", "c", "d"]) {
     enter(name, { urgency: LOW_URGENCY });
@@ -112,19 +123,21 @@
   t.is(queue.length, 0);
 });
 
-// The queue is full of a batch job's requests. When an interactive request
-// arrives, the job's last request is refused and the interactive one waits.
-test("a full queue refuses a less urgent request for a more urgent one", async (t) => {
+// Two requests of a batch job fill the queue, so its third one is refused. An
+// interactive request arrives: the queue refuses the job's second request and
+// the interactive one waits. Another interactive request gets the place of the
+// job's first one. For the next, no low-urgency request is left to refuse.
+test("a full queue refuses a low-urgency request to make room for an interactive one", async (t) => {
   const { enter, outcomes, queue } = fixture({ limit: 2 });
   for (const name of ["1", "2", "3", "4"]) enter(name);
-  enter("first", { urgency: LOW_URGENCY });
-  enter("last", { urgency: LOW_URGENCY });
-  enter("third", { urgency: LOW_URGENCY });
-  t.is(outcomes.get("third"), "full");
+  enter("batch 1", { urgency: LOW_URGENCY });
+  enter("batch 2", { urgency: LOW_URGENCY });
+  enter("batch 3", { urgency: LOW_URGENCY });
+  t.is(outcomes.get("batch 3"), "full");
   enter("interactive", { account: "interactive" });
   await Promise.resolve();
-  t.is(outcomes.get("last"), "full");
-  t.is(outcomes.get("first"), undefined);
+  t.is(outcomes.get("batch 2"), "full");
+  t.is(outcomes.get("batch 1"), undefined);
   t.is(queue.length, 2);
   enter("second interactive", { account: "interactive" });
   enter("third interactive", { account: "interactive" });
@@ -142,16 +155,18 @@
   t.is(outcomes.get("small"), "admitted");
 });
 
-// A request was admitted, but its runner was full. It goes before the other
-// requests of its account, and its account is not charged a second time.
-test("a request that returns goes first and is not charged again", async (t) => {
+// A request was admitted, but its runner turned out to be full, and it enters
+// the queue again. It goes before the other requests of its account, and its
+// account is not charged a second time: otherwise "other" would be admitted
+// before "next".
+test("a request that was admitted before goes first and is not charged again", async (t) => {
   const { enter, outcomes, releaseCapacity } = fixture();
   for (const name of ["1", "2", "3", "4"]) enter(name);
   enter("next");
   enter("other", { account: "two" });
-  enter("back", { wasAdmitted: true });
+  enter("again", { wasAdmitted: true });
   await releaseCapacity(1);
-  t.is(outcomes.get("back"), "admitted");
+  t.is(outcomes.get("again"), "admitted");
   t.is(outcomes.get("next"), undefined);
   await releaseCapacity(1);
   t.is(outcomes.get("next"), "admitted");
--- a/packages/daemon/src/admission/surge_reserve_test.ts
+++ b/packages/daemon/src/admission/surge_reserve_test.ts
@@ -9,7 +9,11 @@
 const LOW_URGENCY = 6;
 const RESERVED_SHARE = 0.25;
 
-/** A reserve that has observed an hour with a surge in its first minute. */
+/**
+ * Returns a reserve that has counted an hour of requests, with a surge in the
+ * first minute, and a function to set its clock. `changes` lists the values
+ * that the reserve passed to `onChange`.
+ */
 function fixture(requestsPerSecond: { quiet: number; surge: number }): {
   reserve: surgeReserve.SurgeReserve;
   moveClockTo: (wallMilliseconds: number) => void;
@@ -60,9 +64,9 @@
   t.is(reserve.capacityShare(LOW_URGENCY), 1);
 });
 
-// Otherwise a batch job that runs at the same time of each hour would have
-// capacity reserved against itself.
-test("less urgent requests do not count as a surge", (t) => {
+// Otherwise the reserve would take a batch job that runs at the same time of
+// each hour for a surge and withhold capacity from the job itself.
+test("low-urgency requests do not count as a surge", (t) => {
   let wallMilliseconds = 0;
   const reserve = new surgeReserve.SurgeReserve({
     reservedShare: () => RESERVED_SHARE,
@@ -78,8 +82,8 @@
   t.is(reserve.capacityShare(LOW_URGENCY), 1);
 });
 
-// The process is paused for days, or its host's clock is set back: the reserve
-// works at once and still knows the surge.
+// The process is paused for days, or the clock of its host is set back. The
+// reserve still expects the surge at the start of an hour only.
 test("a jump of the wall clock does not lose the forecast", (t) => {
   const { reserve, moveClockTo } = fixture({
     quiet: 5,
--- a/packages/daemon/src/forecast/surge_forecast_test.ts
+++ b/packages/daemon/src/forecast/surge_forecast_test.ts
@@ -7,7 +7,10 @@
 const HOUR_MILLISECONDS = 60 * MINUTE_MILLISECONDS;
 const INTERVAL_MILLISECONDS = 30_000;
 
-/** A forecast that observed an hour with a surge in its first two minutes. */
+/**
+ * Returns a forecast that has observed one hour, with four times the usual rate
+ * in its first two minutes.
+ */
 function afterOneHour(): surgeForecast.SurgeForecast {
   const forecast = new surgeForecast.SurgeForecast();
   for (let at = 0; at < HOUR_MILLISECONDS; at += INTERVAL_MILLISECONDS) {
@@ -33,7 +36,7 @@
   );
 });
 
-test("no surge is expected before half an hour was observed", (t) => {
+test("no surge is expected before half of the intervals were observed", (t) => {
   const forecast = new surgeForecast.SurgeForecast();
   forecast.observe(4_000, 0);
   forecast.observe(1_000, INTERVAL_MILLISECONDS);
