--- a/packages/daemon/src/admission/account_flow.ts
+++ b/packages/daemon/src/admission/account_flow.ts
@@ -1,5 +1,6 @@
-/** What decides on the order of an account's requests. */
+/** The properties of a request that decide its place in the account's order. */
 interface PrioritizedRequest {
+  /** From 0, the most urgent, to 7 (RFC 9218). */
   urgency: number;
   /** Whether the request was admitted before and had to return to the queue. */
   wasAdmitted: boolean;
@@ -12,8 +13,8 @@
 export class AccountFlow<T extends PrioritizedRequest> {
   readonly #waiting: T[] = [];
   /**
-   * Start tag of the next request, in virtual time: the queue serves the
-   * account with the lowest one.
+   * Start tag of the next request, in virtual time. The queue first tries the
+   * account with the lowest start tag.
    */
   startTag: number;
 
@@ -26,12 +27,15 @@
     return this.#waiting.length;
   }
 
-  /** The request that is served next. */
+  /** The request that the queue admits next from this account. */
   get head(): T | undefined {
     return this.#waiting[0];
   }
 
-  /** The least urgent request; the newest one of several. */
+  /**
+   * The request that the queue admits last: the least urgent one, and of
+   * several such requests the last in order.
+   */
   get last(): T | undefined {
     return this.#waiting.at(-1);
   }
--- a/packages/daemon/src/admission/account_limits.ts
+++ b/packages/daemon/src/admission/account_limits.ts
@@ -4,11 +4,14 @@
 import * as bucketRegistry from "./bucket_registry.ts";
 import type * as creditBucket from "./credit_bucket.ts";
 
-/** Time to wait for the owner's answer before the local share is used. */
+/**
+ * Time to wait for the owner's answer. If none arrives, the entry grants credit
+ * from its own share of the limit.
+ */
 const OWNER_TIMEOUT_MILLISECONDS = 250;
 /**
- * Credit that all entries together borrow at a time beyond their immediate
- * need, as seconds of the account's rate.
+ * Credit that all entries together borrow at a time beyond what their waiting
+ * requests need, as seconds of the account's rate.
  */
 const LOAN_SECONDS = 0.5;
 /** An entry returns credit to the owner that it has not used for this long. */
@@ -34,7 +37,7 @@
   isServing: boolean;
 }
 
-/** What the limits need of the rest of the entry. */
+/** What `AccountLimits` uses of the rest of the entry. */
 export interface AccountLimitsParameters {
   /** Host of this entry. */
   self: string;
@@ -49,7 +52,7 @@
 
 /**
  * Enforces the limits of client accounts over all entries together, without a
- * write per request. One of the live entries owns the account's token bucket
+ * write per request. One of the live entries owns the account's credit bucket
  * and lends credit to the other entries in portions. If an entry cannot reach
  * the owner, it grants requests from its own share of the limit: the limit
  * divided by the number of entries, so that the sum of all shares stays within
@@ -61,7 +64,7 @@
   readonly #ownedBuckets: bucketRegistry.BucketRegistry;
   /** Buckets with this entry's share, used while the owner is unreachable. */
   readonly #fallbackBuckets: bucketRegistry.BucketRegistry;
-  /** Callbacks that wait for the owner's answer, by account. */
+  /** Callbacks to call with the owner's answer, by account. */
   readonly #grantCallbacks = new Map<
     string,
     (
@@ -99,7 +102,7 @@
     this.#localCreditOf(account).tokens += reservedTokens - usedTokens;
   }
 
-  /** Returns the reservation of a request that did not run. */
+  /** Gives back the credit reserved for a request that did not run. */
   refund(account: string, tokens: number): void {
     const local = this.#localCreditOf(account);
     local.requests += 1;
--- a/packages/daemon/src/admission/bucket_registry.ts
+++ b/packages/daemon/src/admission/bucket_registry.ts
@@ -3,7 +3,11 @@
 
 /** Buckets that were not used for this long are dropped. */
 const MAX_IDLE_MILLISECONDS = 300_000;
-/** Rate of a bucket whose account was removed from the configuration. */
+/**
+ * Rate per second of a bucket whose account was removed from the configuration.
+ * Until the bucket is dropped, other entries may still borrow from it and
+ * return credit to it.
+ */
 const REMOVED_ACCOUNT_RATE = { requests: 1, tokens: 1, burstSeconds: 1 };
 
 interface TrackedBucket {
@@ -12,17 +16,20 @@
 }
 
 /**
- * Token buckets by account. The registry creates a bucket at its first use and
- * drops it when it was not used for long.
+ * Credit buckets by account. The registry creates a bucket at its first use.
+ * `sweep` drops the buckets that were not used for `MAX_IDLE_MILLISECONDS`.
  */
 export class BucketRegistry {
   readonly #buckets = new Map<string, TrackedBucket>();
 
   constructor(
     readonly parameters: {
-      /** Full rate of an account; `undefined` if there is no such account. */
+      /** Full rate of an account; `undefined` if it is not configured. */
       rateOf: (account: string) => creditBucket.CreditRate | undefined;
-      /** Share of the full rate that these buckets grant, from 0 to 1. */
+      /**
+       * Share of the full rate that these buckets grant, from 0 to 1. The other
+       * entries may grant the rest.
+       */
       share: () => number;
     },
   ) {}
@@ -32,7 +39,10 @@
     return this.#buckets.size;
   }
 
-  /** The account's bucket; `undefined` if there is no such account. */
+  /**
+   * The account's bucket; `undefined` if the account has none yet and is not
+   * configured.
+   */
   bucketOf(account: string): creditBucket.CreditBucket | undefined {
     const tracked = this.#buckets.get(account);
     if (tracked) {
@@ -47,7 +57,10 @@
     return bucket;
   }
 
-  /** Drops the buckets that were not used for long. */
+  /**
+   * Drops the buckets that were not used for `MAX_IDLE_MILLISECONDS`.
+   * `AccountLimits` calls this about once a second.
+   */
   sweep(): void {
     const oldestUse = common.now() - MAX_IDLE_MILLISECONDS;
     for (const [account, { usedAt }] of this.#buckets) {
--- a/packages/daemon/src/admission/credit_bucket.ts
+++ b/packages/daemon/src/admission/credit_bucket.ts
@@ -1,12 +1,12 @@
 import * as common from "@geraniumkeel/common";
 
-/** Requests and text tokens that an account may use. */
+/** Number of requests and of text tokens that an account may use. */
 export interface Credit {
   requests: number;
   tokens: number;
 }
 
-/** Rate at which an account gains credit, per second. */
+/** Credit that an account gains per second. */
 export interface CreditRate extends Credit {
   /** Seconds of this rate that a bucket can save up. */
   burstSeconds: number;
@@ -16,9 +16,11 @@
 const INITIAL_CREDIT_SECONDS = 1;
 
 /**
- * Token bucket of one account, for requests and text tokens. A new bucket
- * starts with one second's credit instead of a full burst: otherwise each entry
- * that becomes the account's owner would grant another burst.
+ * Limits one account by the token bucket algorithm, for requests and for text
+ * tokens. What the bucket contains is called credit here, because tokens are
+ * text tokens. A new bucket starts with one second's credit instead of a full
+ * burst: otherwise each entry that becomes the account's owner would grant
+ * another burst.
  */
 export class CreditBucket {
   #requests: number;
@@ -85,7 +87,9 @@
     this.#refill();
   }
 
-  /** Adds the credit gained since the last call, up to a burst. */
+  /**
+   * Adds the credit gained since the last call; limits the total to a burst.
+   */
   #refill(): void {
     const rate = this.rate();
     const now = this.clock();
--- a/packages/daemon/src/admission/rate_window.ts
+++ b/packages/daemon/src/admission/rate_window.ts
@@ -1,7 +1,9 @@
 /**
- * Measures the rate of events over a sliding window in constant memory. It
- * counts the events of the current and of the previous window; the previous one
- * counts by the part of it that the sliding window still covers.
+ * Estimates the rate of recent events in constant memory. It counts the events
+ * of the current interval and remembers the count of the previous one. An
+ * interval lasts `windowMilliseconds`. The longer the current interval has
+ * lasted, the less weight the previous count has: from 1 at its start to 0 at
+ * its end.
  */
 export class RateWindow {
   #currentCount = 0;
@@ -21,7 +23,7 @@
     this.#currentCount++;
   }
 
-  /** Events per millisecond; 0 if neither window has any. */
+  /** Events per millisecond; 0 if neither interval contains an event. */
   get perMillisecond(): number {
     this.#advance();
     const elapsed = this.clock() - this.#startedAt;
@@ -31,7 +33,11 @@
     return weightedCount / this.windowMilliseconds;
   }
 
-  /** Begins a new window if the current one is over. */
+  /**
+   * Begins a new interval if the current one is over. The new one begins now,
+   * not at the end of the old one. After a gap shorter than the window, the old
+   * count therefore enters with full weight, and after a longer gap not at all.
+   */
   #advance(): void {
     const elapsed = this.clock() - this.#startedAt;
     if (elapsed < this.windowMilliseconds) return;
--- a/packages/daemon/src/admission/retry_pacing.ts
+++ b/packages/daemon/src/admission/retry_pacing.ts
@@ -3,16 +3,16 @@
 /**
  * Longest delay that a refused caller gets. At the start of a surge the
  * measured rate is still that of the quiet time before; callers spaced by this
- * rate would leave runners idle. With a limit of 60 s, answering all callers
- * takes 3.7 times as long as without pacing, with 6 s 2.2 times, and with 3 s
- * no longer.
+ * low rate would leave runners idle. With a limit of 60 s, answering all
+ * callers takes 3.7 times as long as without pacing, with 6 s 2.2 times, and
+ * with 3 s no longer.
  */
 const MAX_RETRY_DELAY_MILLISECONDS = 3_000;
 
 /**
  * Gives each refused caller its own time to retry, spaced by the rate at which
- * requests are served. Callers that start together and all get the same delay,
- * jittered or not, would retry together and be refused again.
+ * the queue admits requests. Callers that start together and all get the same
+ * delay, jittered or not, would retry together and be refused again.
  */
 export class RetryPacing {
   #lastRetryAt = 0;
@@ -20,13 +20,14 @@
   constructor(readonly clock: () => number = common.now) {}
 
   /**
-   * Delay until the next free time to retry. This time is not before the queue
-   * has been served, unless that would exceed the longest delay.
+   * Delay after which the next refused caller should retry: one gap after the
+   * retry time of the previous caller, but not before the queue is expected to
+   * be empty. In any case it is at most `MAX_RETRY_DELAY_MILLISECONDS`.
    */
   nextDelayMilliseconds(parameters: {
-    /** Time until the requests that wait now will have been served. */
+    /** Expected time until the waiting requests will have been admitted. */
     queueMilliseconds: number;
-    /** Rate at which requests are served; 0 if unknown. */
+    /** Rate at which the queue admits requests; 0 if unknown. */
     requestsPerMillisecond: number;
   }): number {
     const { queueMilliseconds, requestsPerMillisecond } = parameters;
--- a/packages/daemon/src/admission/service_queue.ts
+++ b/packages/daemon/src/admission/service_queue.ts
@@ -4,27 +4,40 @@
 import * as retryPacing from "./retry_pacing.ts";
 import * as surgeReserve from "./surge_reserve.ts";
 
-/** A request that asks for a runner. */
+/**
+ * A request that enters the queue. It may be admitted at once, wait or be
+ * refused.
+ */
 export interface WaitingRequest<R> {
   account: string;
-  /** Weight of the account in fair queueing. */
+  /**
+   * Weight of the account in fair queueing; with a greater one it gets more.
+   */
   weight: number;
-  /** Cost of the request in text tokens. */
+  /** Tokens of the prompt plus those expected in the answer. */
   cost: number;
   /** From 0, the most urgent, to 7 (RFC 9218). */
   urgency: number;
-  /** Deadline in milliseconds by this process's clock. */
+  /**
+   * Deadline of the request in milliseconds by this process's clock. The queue
+   * refuses a request that it cannot admit, or does not expect to admit, before
+   * this time.
+   */
   deadline: number;
   /** Aborted when the caller disconnects. */
   signal: AbortSignal;
   /**
-   * Whether the queue admitted the request before, and it returned for a reason
-   * that is not its own, such as a full runner.
+   * Whether the queue admitted an earlier attempt of this request, which then
+   * did not start or did not complete, for example because the runner was full.
+   * That can happen although `takeRunner` checks for room: the requests that
+   * other entries sent to the runner since its last load report are unknown
+   * here.
    */
   wasAdmitted: boolean;
   /**
-   * Reserves a runner that has room within this share of its capacity, from 0
-   * to 1; returns `undefined` if there is none.
+   * Chooses a runner that has room within this share of its capacity, from 0 to
+   * 1, and reserves room for this one request there. Returns `undefined` if no
+   * runner has room.
    */
   takeRunner: (capacityShare: number) => R | undefined;
 }
@@ -34,11 +47,14 @@
   | { kind: "admitted"; runner: R; waitedMilliseconds: number }
   /** The queue is full; the caller should retry after this time. */
   | { kind: "full"; retryAfterMilliseconds: number }
-  /** The deadline is too near; the caller should retry after this time. */
+  /**
+   * The request was not expected to be admitted before its deadline, or its
+   * deadline passed while it waited; the caller should retry after this time.
+   */
   | { kind: "too-late"; retryAfterMilliseconds: number }
   | { kind: "caller-gone" };
 
-/** A request in the queue. */
+/** A request that waits in the queue. */
 interface QueuedRequest<R> extends WaitingRequest<R> {
   queuedAt: number;
   finish: (outcome: QueueOutcome<R>) => void;
@@ -46,19 +62,27 @@
 
 /** Window over which the rate of admissions is measured. */
 const RATE_WINDOW_MILLISECONDS = 2_000;
-/** Accounts that the queue tries without finding a runner before it stops. */
+/**
+ * After this many accounts whose request found no runner, `#admitNext` tries no
+ * other account.
+ */
 const MAX_SKIPPED_ACCOUNTS = 4;
 
 /**
- * Queue of one service's requests at one entry. Start-time fair queueing shares
- * the runners among the accounts: an account with many requests waits behind
- * its own requests and does not delay the small accounts. Within an account,
- * more urgent requests go first. Requests of less than the default urgency may
- * use only a part of each runner's capacity while a surge is expected, and a
- * full queue refuses them in favour of more urgent ones.
+ * Queue of the requests for one service at one entry. Start-time fair queueing
+ * shares the runners among the accounts: an account with many requests waits
+ * behind its own requests and does not delay the small accounts. Within an
+ * account, more urgent requests go first. Between accounts, urgency only
+ * changes what a request costs its account (see `virtualCost`).
+ *
+ * Requests of less than the default urgency are called low-urgency; the number
+ * of their urgency is greater than `DEFAULT_URGENCY`. While a surge is
+ * expected, they may use only a part of each runner's capacity. At any time, a
+ * full queue refuses a waiting low-urgency request to make room for one that is
+ * not.
  */
 export class ServiceQueue<R> {
-  /** Waiting requests by account. */
+  /** Waiting requests by account, one flow for each account. */
   readonly #flows = new Map<
     string,
     accountFlow.AccountFlow<QueuedRequest<R>>
@@ -66,10 +90,12 @@
   readonly #admissionRate: rateWindow.RateWindow;
   readonly #now: () => number;
   readonly #retryPacing: retryPacing.RetryPacing;
-  /** Highest start tag that has been served. */
+  /**
+   * Highest start tag that an account had when a request of it was admitted.
+   */
   #virtualTime = 0;
   #length = 0;
-  /** Number of waiting requests of less than the default urgency. */
+  /** Number of waiting low-urgency requests. */
   #lowUrgencyCount = 0;
 
   constructor(
@@ -79,7 +105,10 @@
       clock?: () => number;
       /** Called when a request starts to wait. */
       onWaiting?: () => void;
-      /** Capacity that less urgent requests leave free; none if omitted. */
+      /**
+       * Decides how much capacity low-urgency requests may use; all of it if
+       * omitted.
+       */
       reserve?: surgeReserve.SurgeReserve;
     },
   ) {
@@ -97,8 +126,9 @@
   }
 
   /**
-   * Milliseconds until all requests that wait now will have been admitted; 0 if
-   * none was admitted recently.
+   * Expected milliseconds until all waiting requests will have been admitted.
+   * It is 0 if none was admitted recently, because the rate is then unknown: a
+   * queue that admits nothing reports 0 as an empty one does.
    */
   get estimatedWait(): number {
     if (this.#length === 0) return 0;
@@ -109,9 +139,10 @@
   }
 
   /**
-   * Admits a request at once if it finds a runner, and otherwise queues it. If
-   * the queue is full, or the request would miss its deadline, it is refused at
-   * once.
+   * Admits a request at once if it may skip the queue and finds a runner;
+   * otherwise queues or refuses it. A full queue refuses the request, unless it
+   * was admitted before or the queue can refuse a low-urgency request in its
+   * place. A request that is expected to miss its deadline is refused as well.
    */
   enter(
     request: WaitingRequest<R>,
@@ -129,6 +160,8 @@
     }
     const waitMilliseconds = this.#expectedWaitOf(request);
     if (this.#now() + waitMilliseconds > request.deadline) {
+      // The paced delay is limited, the expected wait is not. The caller gets
+      // the longer of the two.
       const pacedDelayMilliseconds = this.#nextRetryDelay(waitMilliseconds);
       return {
         kind: "too-late",
@@ -142,8 +175,8 @@
   }
 
   /**
-   * Refuses the waiting requests whose deadline has passed and admits as many
-   * of the others as find a runner.
+   * Refuses the waiting requests whose deadline has passed, then admits others
+   * one by one until `#admitNext` finds no runner.
    */
   admitWaiting(): void {
     if (this.#length === 0) return;
@@ -155,7 +188,10 @@
     return this.#length >= this.parameters.limit();
   }
 
-  /** Milliseconds after which the next refused caller should retry. */
+  /**
+   * Milliseconds after which the next refused caller should retry, if the queue
+   * needs `queueMilliseconds` to admit the requests before it.
+   */
   #nextRetryDelay(queueMilliseconds: number): number {
     const requestsPerMillisecond = this.#admissionRate.perMillisecond;
     return this.#retryPacing.nextDelayMilliseconds({
@@ -165,8 +201,12 @@
   }
 
   /**
-   * Milliseconds that a new request would wait. Under fair queueing it waits
-   * for the requests of its own account, and for as many of each other account.
+   * Expected milliseconds until a new request would be admitted; 0 if none was
+   * admitted recently. The request waits for those of its own account. Of each
+   * other account, the estimate counts at most one more than these, because
+   * fair queueing admits about one request of each other account for each of
+   * these and one for the new request. The estimate ignores the weights of the
+   * accounts and the costs and urgencies of the requests.
    */
   #expectedWaitOf(request: WaitingRequest<R>): number {
     const ownCount = this.#flows.get(request.account)?.length ?? 0;
@@ -181,8 +221,10 @@
   }
 
   /**
-   * Whether a new request may ask for a runner before those that wait: none
-   * waits, or a surge is expected and all that wait are less urgent.
+   * Whether a new request may ask for a runner before the waiting requests. It
+   * may if none is waiting. While a surge is expected, a request that is not
+   * low-urgency may also pass low-urgency ones if no others are waiting:
+   * low-urgency requests may be waiting although the reserved capacity is free.
    */
   #maySkipQueue({ urgency }: WaitingRequest<R>): boolean {
     if (this.#length === 0) return true;
@@ -191,17 +233,22 @@
     return this.parameters.reserve?.expectsSurge ?? false;
   }
 
+  /** Share of each runner's capacity that a request may use, from 0 to 1. */
   #capacityShare({ urgency }: WaitingRequest<R>): number {
     return this.parameters.reserve?.capacityShare(urgency) ?? 1;
   }
 
   /**
-   * Makes room in a full queue by refusing a less urgent request: the last one
-   * of the longest flow that ends in such a request. Returns false if there is
-   * none, or if the new request is itself less urgent.
+   * Makes room in a full queue by refusing a waiting low-urgency request. Of
+   * the accounts that have one, it takes the account with the most waiting
+   * requests and refuses the last of these. Returns false if no low-urgency
+   * request is waiting, or if the new request is low-urgency itself.
    */
   #makeRoomFor({ urgency }: WaitingRequest<R>): boolean {
     if (this.#lowUrgencyCount === 0 || isLowUrgency(urgency)) return false;
+    // The last request of a flow is its least urgent one. So the filter keeps
+    // the flows that contain a low-urgency request, of which there is at least
+    // one; an empty flow counts as 0, the most urgent.
     const longestFlow = [...this.#flows.values()]
       .filter((flow) => isLowUrgency(flow.last?.urgency ?? 0))
       .reduce((left, right) => (right.length > left.length ? right : left));
@@ -214,9 +261,10 @@
   }
 
   /**
-   * Admits the first request of the account with the lowest start tag. If it
-   * finds no runner, tries the accounts after it. Returns whether a request was
-   * admitted.
+   * Admits one request: the first one of the account with the lowest start tag.
+   * If this request finds no runner, the queue tries the first request of the
+   * account with the next higher start tag, and so on. Returns whether a
+   * request was admitted.
    */
   #admitNext(): boolean {
     const flows = [...this.#flows.values()]
@@ -232,8 +280,10 @@
       if (capacityShare < 1 && isUnreservedCapacityFull) continue;
       const runner = request.takeRunner(capacityShare);
       if (runner === undefined) {
-        // A request that may use only a part of the capacity does not count as
-        // skipped: many of them must not hide one that may use all of it.
+        // A request that may use only the unreserved capacity does not count as
+        // skipped: many of them must not use up the tries before it is the turn
+        // of one that may use all capacity. After the first of them finds no
+        // runner, the others are not tried in this call.
         if (capacityShare < 1) isUnreservedCapacityFull = true;
         else skippedAccounts++;
         continue;
@@ -261,7 +311,8 @@
       this.#flows.get(account) ??
       new accountFlow.AccountFlow(this.#virtualTime);
     this.#flows.set(account, flow);
-    // While it has no requests waiting, an account does not save up service.
+    // An account gains nothing by the time in which it had no waiting requests:
+    // its start tag is at least the present virtual time.
     if (flow.length === 0)
       flow.startTag = Math.max(flow.startTag, this.#virtualTime);
     const onCallerGone = () => {
@@ -295,8 +346,10 @@
   }
 
   /**
-   * Refuses the requests whose deadline has passed and drops the flows that are
-   * empty and whose start tag is not ahead of the virtual time.
+   * Refuses the requests whose deadline has passed and removes idle flows. An
+   * empty flow stays while its start tag is greater than the virtual time: a
+   * new flow would start at the virtual time, and the account would not be
+   * charged for its last requests.
    */
   #removeExpired(): void {
     const now = this.#now();
@@ -306,6 +359,8 @@
       );
       for (const request of expired) {
         this.#remove(flow, request);
+        // The delay told to the caller is the time that the request waited; it
+        // is not paced.
         const retryAfterMilliseconds = now - request.queuedAt;
         request.finish({ kind: "too-late", retryAfterMilliseconds });
       }
@@ -315,14 +370,16 @@
   }
 }
 
+/** Whether a request is less urgent than the default; 7 is least urgent. */
 function isLowUrgency(urgency: number): boolean {
   return urgency > surgeReserve.DEFAULT_URGENCY;
 }
 
 /**
  * Virtual time by which a request advances its account's start tag. A request
- * that was admitted before is not charged again. Every two levels of lower
- * urgency double the cost.
+ * that was admitted before is not charged again. The cost is the request's own
+ * at the default urgency; it doubles with every two levels of lower urgency and
+ * halves with every two levels of higher urgency.
  */
 function virtualCost(request: WaitingRequest<unknown>): number {
   if (request.wasAdmitted) return 0;
