--- a/packages/daemon/src/forecast/expert_load_forecast.ts
+++ b/packages/daemon/src/forecast/expert_load_forecast.ts
@@ -1,5 +1,6 @@
 import * as intervalOfHour from "./interval_of_hour.ts";
 
+/** Intervals of five minutes; those of the surge forecast are shorter. */
 const INTERVALS_PER_HOUR = 12;
 /** Weight of the newest observation in the average load of its interval. */
 const INTERVAL_SMOOTHING = 0.3;
@@ -11,18 +12,24 @@
  * minutes of earlier hours. Many callers start at fixed minutes of the hour,
  * and each kind of request activates its own experts. The next minutes
  * therefore resemble the same minutes an hour ago more than the last few
- * minutes. A load has one number for each layer and expert, in this order of
- * indexes.
+ * minutes. A load is an array by layer and expert, `load[layer][expert]`. The
+ * numbers are text tokens per second.
  */
 export class ExpertLoadForecast {
-  /** Average load of each interval of the hour; `undefined` if not observed. */
+  /**
+   * Moving average of the load in each interval of the hour; `undefined` if the
+   * interval was not observed.
+   */
   readonly #intervalLoads: (number[][] | undefined)[] = Array.from({
     length: INTERVALS_PER_HOUR,
   });
-  /** Moving average of the load, regardless of the interval. */
+  /** Moving average over all observations, whatever their interval. */
   #recentLoad: number[][] | undefined;
 
-  /** Adds the load that was measured around a wall-clock time. */
+  /**
+   * Adds a measured load. The wall-clock time decides to which interval of the
+   * hour it is added.
+   */
   observe(load: number[][], wallMilliseconds: number): void {
     const interval = intervalOfHour.intervalOfHour(
       wallMilliseconds,
@@ -37,9 +44,13 @@
   }
 
   /**
-   * Load expected from a wall-clock time until the horizon: the mean of the
-   * recent load and of all known intervals in this time, at most three
-   * intervals ahead. Returns `undefined` before the first observation.
+   * Load expected between a wall-clock time and the horizon after it: the mean
+   * of the recent load and of the average loads of the coming intervals that
+   * were observed, all with the same weight. The coming intervals are those at
+   * the given time and every five minutes after it, up to the horizon and up to
+   * 15 minutes. An interval that begins after the last of these times is left
+   * out, even if it begins before the horizon. Returns `undefined` before the
+   * first observation.
    */
   forecast(
     wallMilliseconds: number,
@@ -74,7 +85,10 @@
   }
 }
 
-/** Moving average: moves each number by `weight` towards the new one. */
+/**
+ * Updates a moving average: moves each number towards the newest one by the
+ * share `weight`, from 0 to 1, of their difference.
+ */
 function blend(
   average: number[][] | undefined,
   newest: number[][],
--- a/packages/daemon/src/forecast/interval_of_hour.ts
+++ b/packages/daemon/src/forecast/interval_of_hour.ts
@@ -2,7 +2,7 @@
 
 /**
  * Divides the hour into equal intervals and returns the number, from 0, of the
- * one that a wall-clock time is in.
+ * interval that contains a wall-clock time.
  */
 export function intervalOfHour(
   wallMilliseconds: number,
--- a/packages/daemon/src/forecast/surge_forecast.ts
+++ b/packages/daemon/src/forecast/surge_forecast.ts
@@ -1,22 +1,26 @@
 import * as intervalOfHour from "./interval_of_hour.ts";
 
+/** Intervals of half a minute. */
 export const INTERVALS_PER_HOUR = 120;
 export const INTERVAL_MILLISECONDS =
   intervalOfHour.HOUR_MILLISECONDS / INTERVALS_PER_HOUR;
-/** Weight of the newest hour in an interval's average rate. */
+/** Weight of the newest observation in an interval's average rate. */
 const SMOOTHING = 0.4;
 /** Intervals that must have been observed before a surge can be expected. */
 const MIN_KNOWN_INTERVALS = INTERVALS_PER_HOUR / 2;
-/** A rate above the mean of the hour times this factor is a surge. */
+/** A rate above this factor times the mean rate of the hour is a surge. */
 const SURGE_FACTOR = 1.5;
 
 /**
  * Learns at which minutes of the hour surges occur, from rates of text tokens
- * or of requests. Callers that start by the clock cause them at the same
- * minutes of each hour.
+ * or of requests, always in the same unit. Callers that start at fixed minutes
+ * cause surges at the same minutes of each hour.
  */
 export class SurgeForecast {
-  /** Average rate of each interval of the hour; `undefined` if not observed. */
+  /**
+   * Moving average of the rate in each interval of the hour; `undefined` if the
+   * interval was not observed.
+   */
   readonly #rates: (number | undefined)[] = Array.from({
     length: INTERVALS_PER_HOUR,
   });
@@ -27,7 +31,10 @@
    */
   constructor(readonly minSurgeRate = 0) {}
 
-  /** Adds the rate that was measured around a wall-clock time. */
+  /**
+   * Adds a measured rate. The wall-clock time decides to which interval of the
+   * hour it is added.
+   */
   observe(rate: number, wallMilliseconds: number): void {
     const interval = intervalOfHour.intervalOfHour(
       wallMilliseconds,
@@ -38,8 +45,10 @@
   }
 
   /**
-   * Whether a surge is expected between a wall-clock time and the end of the
-   * span after it.
+   * Whether a surge is expected within the span that starts at a wall-clock
+   * time. Checks the intervals at this time and every half minute after it, up
+   * to the end of the span. Returns false before `MIN_KNOWN_INTERVALS` were
+   * observed.
    */
   expectsSurge(wallMilliseconds: number, spanMilliseconds: number): boolean {
     const knownRates = this.#rates.flatMap((rate) => rate ?? []);
