--- a/packages/daemon/src/routing/choose_group.ts
+++ b/packages/daemon/src/routing/choose_group.ts
@@ -1,13 +1,13 @@
 import type * as common from "@geraniumkeel/common";
 import type * as chooseRank from "./choose_rank.ts";
 
-/** One group that a request may join. */
+/** A group to which a request may be sent. */
 export interface GroupCandidate {
   /** Sequences in the group; a longer iteration delays each of them. */
   sequences: number;
-  /** The rank that the request would use in this group. */
+  /** The rank that the request would use in this group, with predictions. */
   choice: chooseRank.RankChoice;
-  /** One-way network delay to that rank in milliseconds. */
+  /** One-way network delay from the entry to that rank in milliseconds. */
   distanceMilliseconds: number;
 }
 
@@ -21,11 +21,13 @@
 
 /**
  * Chooses the group in which the request causes the least delay per iteration,
- * summed over the sequences of the group and the request itself. A request with
- * a long context thus joins a group that another long context already slows:
- * there it delays no other sequence, and the other groups stay fast. Groups
- * that are nearly as good share the requests at random. Returns the index of
- * the candidate, or `undefined` if there is none.
+ * summed over the sequences of the group and the request itself; its network
+ * delay counts too. A request with a long context thus joins a group that a
+ * request with another long context already slows: there it delays no other
+ * sequence, and the other groups stay fast. Of the groups whose cost is near
+ * the lowest (see `NEAR_BEST_SHARE`) and which are no farther away than the
+ * best one, it picks one at random. Returns the index of the candidate, or
+ * `undefined` if there is none.
  */
 export function chooseGroup(parameters: {
   candidates: GroupCandidate[];
@@ -40,7 +42,8 @@
   );
   const bestIndex = costs.indexOf(Math.min(...costs));
   const costLimit = (1 + NEAR_BEST_SHARE) * costs[bestIndex];
-  // Requests are not spread to groups that are farther away than the best one.
+  // A group that is farther away than the best one gets no share of the
+  // requests, even if its cost is near the lowest.
   const maxDistanceMilliseconds = candidates[bestIndex].distanceMilliseconds;
   const nearBest = candidates.flatMap(({ distanceMilliseconds }, index) =>
     costs[index] <= costLimit && distanceMilliseconds <= maxDistanceMilliseconds
@@ -51,8 +54,9 @@
 }
 
 /**
- * Milliseconds per iteration that the request adds to the other sequences, plus
- * its own iteration time, plus its round trip spread over all its iterations.
+ * Cost of the request in this group, in milliseconds per iteration: the delay
+ * that it adds to the other sequences in sum, plus its own iteration time, plus
+ * its one network round trip divided by its number of iterations.
  */
 function costMilliseconds(
   candidate: GroupCandidate,
--- a/packages/daemon/src/routing/choose_rank.ts
+++ b/packages/daemon/src/routing/choose_rank.ts
@@ -1,16 +1,22 @@
 import type * as common from "@geraniumkeel/common";
 import type * as iterationTimeModel from "./iteration_time_model.ts";
 
-/** One rank of a group that a request may use. */
+/** One rank of a group, as a candidate for a request. */
 export interface RankCandidate {
   /** Number of the rank in its group. */
   rank: number;
   work: iterationTimeModel.RankWork;
-  /** Whether the rank may be chosen; if not, it still slows the group. */
+  /**
+   * Whether the request may be sent to the rank. Ranks that are not eligible
+   * are passed as well, because they count for the group's iteration time.
+   */
   eligible: boolean;
-  /** Prompt tokens that the rank's KV cache is believed to contain. */
+  /**
+   * Estimated tokens of this request's prompt that are already in the KV cache
+   * of the rank's engine.
+   */
   prefixTokens: number;
-  /** One-way network delay in milliseconds. */
+  /** One-way network delay from the entry to the rank in milliseconds. */
   distanceMilliseconds: number;
 }
 
@@ -21,7 +27,7 @@
   expectedTokens: number;
 }
 
-/** The chosen rank, with the predictions behind the choice. */
+/** The rank chosen in a group, with the predictions behind the choice. */
 export interface RankChoice {
   /** Index of the candidate. */
   index: number;
@@ -40,15 +46,20 @@
  * a random choice among the near-best ranks spreads the requests.
  */
 const NEAR_BEST_SHARE = 0.01;
-/** Growth of the group's iteration delays every rank, so it weighs more. */
+/**
+ * Weight of the growth of the group's iteration, against 1 for the rank's own
+ * iteration time: the growth delays every rank of the group.
+ */
 const GROWTH_WEIGHT = 4;
 
 /**
- * Chooses the rank on which the request least lengthens the group's iteration.
- * An iteration takes as long as its slowest rank, so a request costs the group
- * nothing on a rank that stays faster than that one. Among such ranks it
- * prefers fast and near ones. Ranks that are nearly as good share the requests
- * at random. Returns `undefined` if no candidate is eligible.
+ * Chooses the eligible rank with the lowest score: the weighted growth of the
+ * group's iteration, plus the rank's own iteration time, plus the network round
+ * trip. An iteration takes as long as its slowest rank, so a request does not
+ * lengthen it on a rank that stays faster than the slowest one; among such
+ * ranks, fast and near ones score best. Of the ranks whose score is near the
+ * lowest (see `NEAR_BEST_SHARE`), the function picks one at random. Returns
+ * `undefined` if no candidate is eligible.
  */
 export function chooseRank(parameters: {
   candidates: RankCandidate[];
@@ -78,6 +89,7 @@
       0,
       rankMilliseconds - slowestMilliseconds,
     );
+    // The request has one round trip, and all other times are per iteration.
     const roundTripMillisecondsPerIteration =
       (2 * candidate.distanceMilliseconds) / iterations;
     const score =
@@ -103,8 +115,9 @@
 
 /**
  * The rank's work with the request added, as an average over the iterations of
- * the request: on average half of its answer is in the KV cache, and its
- * uncached prompt tokens are spread over all its iterations.
+ * the request: on average half of its answer is in the KV cache. The prompt
+ * tokens that are not in the KV cache are prefilled once; their number is
+ * divided by the number of iterations before it is added to `prefillTokens`.
  */
 function withRequest(
   candidate: RankCandidate,
--- a/packages/daemon/src/routing/iteration_time_model.ts
+++ b/packages/daemon/src/routing/iteration_time_model.ts
@@ -1,5 +1,6 @@
 /** Work of a rank in one iteration, on which its iteration time depends. */
 export interface RankWork {
+  /** Running sequences, one for each attempt. */
   sequences: number;
   /** Tokens of these sequences in the KV cache. */
   cachedTokens: number;
@@ -10,8 +11,8 @@
 /** One constant, and one coefficient for each field of `RankWork`. */
 const COEFFICIENT_COUNT = 4;
 /**
- * Factor by which the weight of an observation falls at each later one; about
- * the last 500 count.
+ * Factor by which the weight of an observation falls at each later one; so
+ * about the last 500 observations determine the fit.
  */
 const FORGETTING_FACTOR = 0.998;
 /** Factors that scale the inputs so that typical values are near 1. */
@@ -30,7 +31,8 @@
  * Predicts the iteration time of a rank from its work as a + b·sequences +
  * c·cached tokens + d·prefill tokens. The coefficients are fitted online by
  * recursive least squares over all ranks of a group. Each rank also has its own
- * slowdown factor, for popular experts or slow hardware.
+ * slowdown factor, by which the prediction is multiplied: a rank with popular
+ * experts or slow hardware takes longer for the same work.
  */
 export class IterationTimeModel {
   readonly #coefficients = Float64Array.from(INITIAL_COEFFICIENTS);
@@ -74,8 +76,8 @@
   }
 
   /**
-   * Milliseconds that the fit predicts; never 0, because `observe` divides by
-   * it.
+   * Milliseconds that the fit predicts for any rank. They are never 0, because
+   * `observe` divides by them.
    */
   #predictWithoutSlowdown(work: RankWork): number {
     const coefficients = this.#coefficients;
--- a/packages/daemon/src/routing/prefix_index.ts
+++ b/packages/daemon/src/routing/prefix_index.ts
@@ -2,14 +2,20 @@
 import * as engine from "@geraniumkeel/engine";
 import type * as wire from "@geraniumkeel/wire";
 
-/** Blocks remembered per runner; the engine's cache is limited as well. */
+/**
+ * Blocks recorded per runner; beyond this the index drops the oldest. The KV
+ * cache of an engine is limited as well, by a size that the index does not
+ * know.
+ */
 const MAX_BLOCKS_PER_RUNNER = 16_384;
-/** Prefix blocks that are hashed per prompt; the rest is ignored. */
+/** Prefix blocks of a prompt that are hashed; the rest of it is ignored. */
 const MAX_BLOCKS_PER_PROMPT = 256;
 
 /**
- * Hashes the complete prefix blocks of a prompt. Each hash covers its block and
- * all blocks before, so equal hashes mean equal prefixes.
+ * Hashes the complete prefix blocks of a prompt. A prefix block is a piece of
+ * the prompt's text of `PREFIX_BLOCK_CHARACTERS` characters, not a block of
+ * tokens. Each hash covers its block and all blocks before, so equal hashes
+ * mean equal prefixes. Engines report cached blocks by the same hashes.
  */
 export function hashPrefixBlocks(prompt: string): string[] {
   const blocks: string[] = [];
@@ -28,14 +34,18 @@
 }
 
 /**
- * Records which prefix blocks are believed to be in each runner's KV cache, by
- * the cache events of its engine. These events arrive late and may have gaps. A
- * wrong record only costs time; the answers stay correct.
+ * Records, by their hashes, which prefix blocks are probably in the KV cache of
+ * each runner's engine. The record follows the cache events that the engine
+ * reports, and the prompts that were just sent to it. The events arrive late
+ * and may have gaps. A wrong record only costs time; the answers stay correct.
  */
 export class PrefixIndex {
   readonly #cachedBlocks = new Map<string, Set<string>>();
 
-  /** Applies a runner's cache events; a gap clears the runner's record. */
+  /**
+   * Applies `changes`, the cache events of a runner's engine, in their order.
+   * Where events were lost (`gap`), clears the runner's record first.
+   */
   apply(runner: string, changes: wire.CacheChange[]): void {
     for (const change of changes) {
       if (change.gap) this.#cachedBlocks.delete(runner);
@@ -45,15 +55,20 @@
     }
   }
 
-  /** Records a prompt that was just sent, before the engine's event arrives. */
+  /**
+   * Records the blocks of a prompt for a runner that was just chosen for it,
+   * before the engine's event arrives.
+   */
   assumeCached(runner: string, blocks: string[]): void {
     const cached = this.#cachedBlocksOf(runner);
     for (const block of blocks) this.#add(cached, block);
   }
 
   /**
-   * Estimates the tokens of the longest prefix in the runner's cache, at 4
-   * characters per token.
+   * Estimates how many tokens of a prompt are in the KV cache of the runner's
+   * engine. `blocks` are the hashes of the prompt's prefix blocks. Counts the
+   * recorded blocks from the first one to the first gap, at 4 characters per
+   * token.
    */
   countPrefixTokens(runner: string, blocks: string[]): number {
     const cached = this.#cachedBlocks.get(runner);
@@ -74,6 +89,11 @@
     return cached;
   }
 
+  /**
+   * Records a block as the newest one: a set keeps the order of insertion, so
+   * the block is removed and inserted again. If there are too many blocks,
+   * drops the oldest.
+   */
   #add(cached: Set<string>, block: string): void {
     cached.delete(block);
     cached.add(block);
--- a/packages/daemon/src/routing/router.ts
+++ b/packages/daemon/src/routing/router.ts
@@ -8,20 +8,23 @@
 import * as prefixIndex from "./prefix_index.ts";
 import * as iterationTimeModel from "./iteration_time_model.ts";
 
-/** A runner that has work but makes no progress for longer is suspended. */
+/** A runner that has work but makes no progress for this long is suspended. */
 const STALL_TIMEOUT_MILLISECONDS = 1_000;
 /** Time in which a restored runner returns to its full concurrency. */
 const RAMP_UP_MILLISECONDS = 5_000;
-/** One-way network delay: same data centre, same region, other region. */
+/**
+ * One-way network delay from an entry to a runner in the same data centre, in
+ * the same region, and in another region.
+ */
 const DISTANCE_MILLISECONDS = [0, 1.5, 30];
 /** Weight of the newest call in the moving average of a runner's latency. */
 const LATENCY_SMOOTHING = 0.1;
 /** Latency that is assumed of a runner before its first call. */
 const INITIAL_LATENCY_MILLISECONDS = 10;
-/** Latest choices that the state dump shows. */
+/** Number of latest choices that the state dump shows. */
 const MAX_EXPLANATIONS = 32;
 
-/** What the choice of a runner depends on in a request. */
+/** The properties of a request that the choice of its runner depends on. */
 export interface RoutingRequest {
   service: string;
   /** Requests that one runner may run at once. */
@@ -58,7 +61,7 @@
     iterationTimeModel.IterationTimeModel
   >();
   readonly #prefixes = new prefixIndex.PrefixIndex();
-  /** Moving average of the latency of plain calls, by runner. */
+  /** Moving average of the latency of a plain service's calls, by runner. */
   readonly #latencyMilliseconds = new Map<string, number>();
   /** When each suspended runner was suspended. */
   readonly #suspendedAt = new Map<string, number>();
@@ -298,7 +301,7 @@
       : second;
   }
 
-  /** Expected time until the runner would answer one more request. */
+  /** Expected milliseconds until the runner would answer one more request. */
   #expectedMilliseconds(runner: runnerLink.RunnerLink): number {
     const { name } = runner.host;
     const latency =
