--- a/packages/daemon/src/lease/lease.ts
+++ b/packages/daemon/src/lease/lease.ts
@@ -19,7 +19,7 @@
   fencing: number;
   /** Epoch of the table in which the row was written. */
   epoch: number;
-  /** Tells this write from every other one. */
+  /** Random identifier that distinguishes this write from every other one. */
   nonce: string;
 }
 
@@ -32,19 +32,23 @@
 }
 
 /**
- * A lease in the table service, on a duty that one process at a time should
- * have. It keeps processes from superseding each other again and again; safety
- * never depends on it. The clocks of different hosts are not compared. For
- * other processes the lease expires when its row has not changed for the lease
- * duration by their own clocks. For its holder it expires earlier, after half
- * of the duration by the holder's clock.
+ * A lease in the table service, for a task that only one process at a time
+ * should do. Without the lease, processes would supersede each other again and
+ * again; safety never depends on it. The processes do not compare the clocks of
+ * different hosts. Another process regards the lease as expired when the row
+ * has not changed for the lease duration by its own clock. The holder regards
+ * it as expired earlier, half of the duration after its last renewal by its own
+ * clock.
  */
 export class Lease {
   /** Set while this process may be the holder. */
   #own: OwnLease | undefined;
   /** Revision of another holder's row, and when this process first read it. */
   #observed: { revision: backingServices.Revision; since: number } | undefined;
-  /** Ranks have promised others to obey fencing numbers up to this one. */
+  /**
+   * Highest fencing number that ranks are known to have promised to obey; later
+   * terms use higher ones.
+   */
   #promisedFencing = 0;
 
   constructor(
@@ -170,7 +174,8 @@
   }
 
   /**
-   * Releases the lease, so that the next holder need not wait for its expiry.
+   * Releases the lease, so that the next holder does not have to wait until it
+   * expires.
    */
   async release(): Promise<void> {
     const own = this.#own;
