--- a/packages/daemon/src/admission/account_limits.ts
+++ b/packages/daemon/src/admission/account_limits.ts
@@ -142,7 +142,11 @@
     this.#fallbackBuckets.sweep();
   }
 
-  /** The limits' part of the state dump. */
+  /**
+   * The part of the state dump on account limits: `owned` is the number of
+   * buckets that this entry owns, `borrowing` the credit by account that it has
+   * obtained and not used.
+   */
   describe(): unknown {
     return {
       owned: this.#ownedBuckets.size,
--- a/packages/daemon/src/admission/service_queue.ts
+++ b/packages/daemon/src/admission/service_queue.ts
@@ -247,8 +247,8 @@
   #makeRoomFor({ urgency }: WaitingRequest<R>): boolean {
     if (this.#lowUrgencyCount === 0 || isLowUrgency(urgency)) return false;
     // The last request of a flow is its least urgent one. So the filter keeps
-    // the flows that contain a low-urgency request, of which there is at least
-    // one; an empty flow counts as 0, the most urgent.
+    // the flows that contain a low-urgency request, and there is at least one
+    // such flow. An empty flow counts as 0, the most urgent.
     const longestFlow = [...this.#flows.values()]
       .filter((flow) => isLowUrgency(flow.last?.urgency ?? 0))
       .reduce((left, right) => (right.length > left.length ? right : left));
@@ -359,8 +359,8 @@
       );
       for (const request of expired) {
         this.#remove(flow, request);
-        // The delay told to the caller is the time that the request waited; it
-        // is not paced.
+        // The delay reported to the caller is the time that the request waited;
+        // it is not paced.
         const retryAfterMilliseconds = now - request.queuedAt;
         request.finish({ kind: "too-late", retryAfterMilliseconds });
       }
--- a/packages/daemon/src/routing/router.ts
+++ b/packages/daemon/src/routing/router.ts
@@ -139,7 +139,10 @@
     return this.#chooseAmongGroups(groups, request);
   }
 
-  /** Routing's part of the state dump. */
+  /**
+   * Routing's part of the state dump: `costs` lists the coefficients of each
+   * group's time model, `spared` the suspended runners.
+   */
   describe(): unknown {
     return {
       costs: Object.fromEntries(
