--- a/packages/daemon/src/dispatch/claim_takeover.ts
+++ b/packages/daemon/src/dispatch/claim_takeover.ts
@@ -51,11 +51,7 @@
       case claimStore.ClaimState.Settled:
         return resolvedWith(await replay(claim, sink));
       case claimStore.ClaimState.Unsettled:
-        return resolvedWith(
-          outcomeRecorder.mayHaveRun(
-            "the outcome of the earlier attempt is lost",
-          ),
-        );
+        return resolvedWith(outcomeRecorder.mayHaveRun("its outcome was lost"));
       case claimStore.ClaimState.Claimed:
         return this.#settleAttempt(accepted, sink, key, stored);
     }
@@ -73,9 +69,7 @@
     const runner = this.parameters.runners.get(claim.runner);
     if (!runner?.hello || !runner.linked) {
       return resolvedWith(
-        outcomeRecorder.mayHaveRun(
-          "the runner of the earlier attempt is not linked",
-        ),
+        outcomeRecorder.mayHaveRun("its runner cannot be asked now"),
       );
     }
     if (runner.hello.incarnation !== attempt.agentIncarnation) {
@@ -83,9 +77,7 @@
         state: claimStore.ClaimState.Unsettled,
       });
       return resolvedWith(
-        outcomeRecorder.mayHaveRun(
-          "the runner of the earlier attempt was replaced",
-        ),
+        outcomeRecorder.mayHaveRun("its runner was replaced"),
       );
     }
     const state = await runner.settle(attempt, settleAfterMilliseconds);
@@ -128,15 +120,11 @@
           state: claimStore.ClaimState.Unsettled,
         });
         return resolvedWith(
-          outcomeRecorder.mayHaveRun(
-            "the runner of the earlier attempt forgot its outcome",
-          ),
+          outcomeRecorder.mayHaveRun("its outcome was forgotten"),
         );
       case undefined:
         return resolvedWith(
-          outcomeRecorder.mayHaveRun(
-            "the runner of the earlier attempt did not answer",
-          ),
+          outcomeRecorder.mayHaveRun("its runner did not answer"),
         );
     }
   }
--- a/packages/daemon/src/dispatch/dispatcher.ts
+++ b/packages/daemon/src/dispatch/dispatcher.ts
@@ -218,9 +218,9 @@
         case request.AttemptOutcomeKind.CallerGone:
           return { kind: request.ResultKind.CallerGone };
         case request.AttemptOutcomeKind.Deadline:
-          return unfinishedResult(sink, "the deadline passed");
+          return unfinishedResult(sink, "deadline passed");
         case request.AttemptOutcomeKind.Quarantined:
-          return unfinishedResult(sink, "the request was put in quarantine");
+          return unfinishedResult(sink, "put in quarantine");
         case request.AttemptOutcomeKind.NeverStarted:
           // The request goes back to the queue, at most until its deadline.
           if (outcome.cause === request.NotStartedCause.Full) continue;
--- a/packages/daemon/src/dispatch/follow_attempt.ts
+++ b/packages/daemon/src/dispatch/follow_attempt.ts
@@ -147,13 +147,13 @@
       case AttemptEventKind.UpstreamReplaced:
         return {
           kind: AttemptOutcomeKind.Unsettled,
-          reason: "the upstream process was replaced",
+          reason: "upstream process replaced",
           endedLife: outgoing.attempt.agentIncarnation,
         };
       case AttemptEventKind.Unreachable:
         return {
           kind: AttemptOutcomeKind.Unsettled,
-          reason: "the upstream process is unreachable",
+          reason: "upstream process unreachable",
           endedLife: "",
         };
       case AttemptEventKind.Deadline:
@@ -169,7 +169,7 @@
         break;
     }
   }
-  return unsettled("this entry is stopping");
+  return unsettled("entry stopping");
 }
 
 /**
@@ -210,7 +210,7 @@
     case wire.EndKind.Cancelled:
       return {
         kind: AttemptOutcomeKind.Broken,
-        reason: "the attempt was cancelled",
+        reason: "cancelled",
         endedLife: "",
       };
   }
@@ -228,7 +228,7 @@
     case wire.AttemptState.Running:
     case wire.AttemptState.Finished:
     case wire.AttemptState.Forgotten:
-      return unsettled("the runner no longer knows the attempt");
+      return unsettled("forgotten");
   }
 }
 
--- a/packages/daemon/src/dispatch/keyed_requests.ts
+++ b/packages/daemon/src/dispatch/keyed_requests.ts
@@ -81,7 +81,7 @@
       );
       // The other request is not finished by the deadline and may have run.
       if (!finished) {
-        const reason = "another request with this key is still running";
+        const reason = "a request with this key is under way";
         return { kind: request.ResultKind.MayHaveRun, reason };
       }
     }
@@ -217,9 +217,7 @@
     const { claims } = this.parameters;
     const written = await claims.write({ key, claim: earlier, base });
     if (written.kind === "store-unavailable") {
-      const result = outcomeRecorder.mayHaveRun(
-        "the claim of the earlier attempt was lost",
-      );
+      const result = outcomeRecorder.mayHaveRun("its claim was lost");
       return { kind: "result", result };
     }
     const { stored } = written;
--- a/packages/daemon/src/dispatch/outcome_recorder.ts
+++ b/packages/daemon/src/dispatch/outcome_recorder.ts
@@ -61,9 +61,9 @@
         // again, it can still report the outcome.
         return unfinishedResult(recording, outcome.reason);
       case request.AttemptOutcomeKind.Deadline:
-        return unfinishedResult(recording, "the deadline passed");
+        return unfinishedResult(recording, "deadline passed");
       case request.AttemptOutcomeKind.Quarantined:
-        return unfinishedResult(recording, "the request was put in quarantine");
+        return unfinishedResult(recording, "put in quarantine");
       case request.AttemptOutcomeKind.CallerGone:
       case request.AttemptOutcomeKind.NeverStarted:
         return { kind: request.ResultKind.CallerGone };
--- a/packages/daemon/src/dispatch/outgoing_attempt.ts
+++ b/packages/daemon/src/dispatch/outgoing_attempt.ts
@@ -67,8 +67,7 @@
    * break the answer off.
    */
   receivePieces(offset: number, pieces: wire.AnswerPiece[]): void {
-    if (offset > this.nextOffset)
-      return this.#breakOff("pieces of the answer are missing");
+    if (offset > this.nextOffset) return this.#breakOff("pieces missing");
     const fresh = pieces.slice(this.nextOffset - offset);
     if (fresh.length === 0) return;
     this.nextOffset += fresh.length;
@@ -81,9 +80,7 @@
   receiveEnd(offset: number, end: wire.AttemptEnd): void {
     const complete = end.kind === wire.EndKind.Complete;
     if (complete && offset !== this.nextOffset) {
-      return this.#breakOff(
-        "the end of the answer arrived before all its pieces",
-      );
+      return this.#breakOff("end before all pieces");
     }
     this.events.push({ kind: AttemptEventKind.End, end });
   }
