--- a/packages/daemon/src/dispatch/claim_takeover.ts
+++ b/packages/daemon/src/dispatch/claim_resolver.ts
@@ -24,13 +24,13 @@
  * same idempotency key: replays the stored answer, collects the answer of the
  * running attempt, or takes the claim over if the attempt never ran.
  */
-export class ClaimTakeover {
+export class ClaimResolver {
   constructor(
     readonly parameters: {
       recorder: outcomeRecorder.OutcomeRecorder;
       runners: runnerDirectory.RunnerDirectory;
       logger: common.Logger;
-      settleAfterMilliseconds: number;
+      settleTimeoutMilliseconds: number;
       quarantine: quarantine.Quarantine;
     },
   ) {}
@@ -48,9 +48,9 @@
       return resolvedWith({ kind: request.ResultKind.KeyReused });
     }
     switch (claim.state) {
-      case claimStore.ClaimState.Settled:
+      case claimStore.ClaimState.Completed:
         return resolvedWith(await replay(claim, sink));
-      case claimStore.ClaimState.Unsettled:
+      case claimStore.ClaimState.MayHaveRun:
         return resolvedWith(outcomeRecorder.mayHaveRun("its outcome was lost"));
       case claimStore.ClaimState.Claimed:
         return this.#settleAttempt(accepted, sink, key, stored);
@@ -65,7 +65,7 @@
   ): Promise<ClaimResolution> {
     const { claim } = stored;
     const { attempt } = claim;
-    const { settleAfterMilliseconds, logger } = this.parameters;
+    const { settleTimeoutMilliseconds, logger } = this.parameters;
     const runner = this.parameters.runners.get(claim.runner);
     if (!runner?.hello || !runner.linked) {
       return resolvedWith(
@@ -74,13 +74,13 @@
     }
     if (runner.hello.incarnation !== attempt.agentIncarnation) {
       await this.parameters.recorder.changeClaim(key, stored, {
-        state: claimStore.ClaimState.Unsettled,
+        state: claimStore.ClaimState.MayHaveRun,
       });
       return resolvedWith(
         outcomeRecorder.mayHaveRun("its runner was replaced"),
       );
     }
-    const state = await runner.settle(attempt, settleAfterMilliseconds);
+    const state = await runner.settle(attempt, settleTimeoutMilliseconds);
     logger.event(common.EventCode.ClaimTakenOver, {
       identifier: attempt.identifier,
       from: claim.entry,
@@ -117,7 +117,7 @@
       }
       case wire.AttemptState.Forgotten:
         await this.parameters.recorder.changeClaim(key, stored, {
-          state: claimStore.ClaimState.Unsettled,
+          state: claimStore.ClaimState.MayHaveRun,
         });
         return resolvedWith(
           outcomeRecorder.mayHaveRun("its outcome was forgotten"),
--- a/packages/daemon/src/dispatch/claim_store.ts
+++ b/packages/daemon/src/dispatch/claim_store.ts
@@ -8,9 +8,9 @@
   /** The claim names an attempt; only its runner knows the outcome. */
   Claimed = "claimed",
   /** The attempt ran to completion. */
-  Settled = "settled",
+  Completed = "settled",
   /** The attempt may have run, and its outcome cannot be learned. */
-  Unsettled = "unsettled",
+  MayHaveRun = "unsettled",
 }
 
 /** Answer stored with a settled claim, for repeated requests. */
--- a/packages/daemon/src/dispatch/dispatcher.ts
+++ b/packages/daemon/src/dispatch/dispatcher.ts
@@ -51,7 +51,9 @@
     sink: answerSink.AnswerSink,
   ): Promise<request.RequestResult> {
     this.#running++;
-    const stopWatching = this.parameters.quarantine.watch(accepted.watched);
+    const stopWatching = this.parameters.quarantine.watch(
+      accepted.quarantineHandle,
+    );
     try {
       this.parameters.budgetOf(accepted.service).earn();
       if (accepted.idempotencyKey !== undefined && !accepted.repeatable) {
@@ -81,7 +83,7 @@
       return this.#obtainedNoRunner(request.NotRunReason.NoRunner);
     }
     const quarantinedMilliseconds = quarantine.remainingMilliseconds(
-      accepted.watched,
+      accepted.quarantineHandle,
     );
     if (quarantinedMilliseconds > 0)
       return this.#obtainedNoRunner(
@@ -116,7 +118,9 @@
     switch (outcome.kind) {
       case "admitted": {
         const { waitedMilliseconds, runner: reserved } = outcome;
-        const remainingMilliseconds = quarantine.admit(accepted.watched);
+        const remainingMilliseconds = quarantine.admit(
+          accepted.quarantineHandle,
+        );
         if (remainingMilliseconds > 0) {
           reserved.reservation.release();
           return this.#obtainedNoRunner(
--- a/packages/daemon/src/dispatch/follow_attempt.ts
+++ b/packages/daemon/src/dispatch/follow_attempt.ts
@@ -36,7 +36,7 @@
   const startedAt = common.now();
   // The quarantine stops a request only if it is repeatable and the caller has
   // received nothing of its answer. All others run on until they finish.
-  accepted.watched.onStop = () => {
+  accepted.quarantineHandle.onStop = () => {
     if (!accepted.repeatable || sink.delivered) return;
     events.push({ kind: AttemptEventKind.Quarantined });
   };
@@ -58,7 +58,7 @@
     runner.close(attempt, stopped && !isKeyed);
     return outcome;
   } finally {
-    accepted.watched.onStop = undefined;
+    accepted.quarantineHandle.onStop = undefined;
     clearTimeout(timer);
     accepted.signal.removeEventListener("abort", onCallerGone);
   }
@@ -73,14 +73,14 @@
   outcome: request.AttemptOutcome,
   startedAt: number,
 ): void {
-  const { identifier, watched } = accepted;
+  const { identifier, quarantineHandle } = accepted;
   switch (outcome.kind) {
     case request.AttemptOutcomeKind.Complete:
-      return quarantine.answered(watched, UNKNOWN_VERSION);
+      return quarantine.answered(quarantineHandle, UNKNOWN_VERSION);
     case request.AttemptOutcomeKind.Broken:
     case request.AttemptOutcomeKind.Unsettled: {
       if (!outcome.endedLife) return;
-      const { fingerprint, service } = watched;
+      const { fingerprint, service } = quarantineHandle;
       return quarantine.recordCrash({
         life: outcome.endedLife,
         runner: runner.host.name,
@@ -142,7 +142,7 @@
         break;
       case AttemptEventKind.End:
         return outcomeOfEnd(event.end);
-      case AttemptEventKind.Settled:
+      case AttemptEventKind.StateReported:
         return outcomeOfState(event.state);
       case AttemptEventKind.UpstreamReplaced:
         return {
--- a/packages/daemon/src/dispatch/keyed_requests.ts
+++ b/packages/daemon/src/dispatch/keyed_requests.ts
@@ -5,7 +5,7 @@
 import type * as answerSink from "./answer_sink.ts";
 import * as outcomeRecorder from "./outcome_recorder.ts";
 import * as claimStore from "./claim_store.ts";
-import * as claimTakeover from "./claim_takeover.ts";
+import * as claimResolver from "./claim_resolver.ts";
 import * as followAttempt from "./follow_attempt.ts";
 import * as recordingSink from "./recording_sink.ts";
 import type * as lostClaims from "./lost_claims.ts";
@@ -32,7 +32,7 @@
   /** Host of this entry. */
   host: string;
   /** Longest wait for a runner's answer about an attempt. */
-  settleAfterMilliseconds: number;
+  settleTimeoutMilliseconds: number;
   quarantine: quarantine.Quarantine;
   lostClaims: lostClaims.LostClaims;
 }
@@ -50,12 +50,12 @@
    */
   readonly #running = new Map<string, Promise<unknown>>();
   readonly #recorder: outcomeRecorder.OutcomeRecorder;
-  readonly #takeover: claimTakeover.ClaimTakeover;
+  readonly #resolver: claimResolver.ClaimResolver;
 
   constructor(readonly parameters: KeyedRequestsParameters) {
     this.#recorder = new outcomeRecorder.OutcomeRecorder(parameters);
     const recorder = this.#recorder;
-    this.#takeover = new claimTakeover.ClaimTakeover({
+    this.#resolver = new claimResolver.ClaimResolver({
       ...parameters,
       recorder,
     });
@@ -142,7 +142,7 @@
       }
       if (written.kind === "exists") {
         const { stored } = written;
-        const resolved = await this.#takeover.resolve(
+        const resolved = await this.#resolver.resolve(
           accepted,
           sink,
           key,
@@ -212,7 +212,7 @@
     accepted: request.AcceptedRequest,
     sink: answerSink.AnswerSink,
     own: { key: string; digest: string; stored: claimStore.StoredClaim },
-  ): Promise<claimTakeover.ClaimResolution> {
+  ): Promise<claimResolver.ClaimResolution> {
     const { key, digest, stored: base } = own;
     const { claims } = this.parameters;
     const written = await claims.write({ key, claim: earlier, base });
@@ -221,7 +221,7 @@
       return { kind: "result", result };
     }
     const { stored } = written;
-    return this.#takeover.resolve(accepted, sink, key, digest, stored);
+    return this.#resolver.resolve(accepted, sink, key, digest, stored);
   }
 
   #newClaim(
--- a/packages/daemon/src/dispatch/lost_claims.ts
+++ b/packages/daemon/src/dispatch/lost_claims.ts
@@ -53,7 +53,7 @@
   #gatheredEpoch: number | undefined;
   #gathering: Promise<void> | undefined;
   /** When this entry first saw the table's epoch of this number. */
-  #epochFirstSeen = { number: -1, at: 0 };
+  #firstGather = { number: -1, at: 0 };
 
   constructor(readonly parameters: LostClaimsParameters) {}
 
@@ -107,8 +107,8 @@
   async #gatherOnce(): Promise<void> {
     const { epoch, runners } = this.parameters;
     const { number, sawBegin } = epoch;
-    if (this.#epochFirstSeen.number !== number) {
-      this.#epochFirstSeen = { number, at: common.now() };
+    if (this.#firstGather.number !== number) {
+      this.#firstGather = { number, at: common.now() };
       this.#found.clear();
     }
     const answers = await Promise.all(
@@ -116,7 +116,7 @@
     );
     for (const [key, { claim }] of this.#written) this.#found.set(key, claim);
     const allAnswered = answers.every((answered) => answered);
-    const waited = common.now() - this.#epochFirstSeen.at;
+    const waited = common.now() - this.#firstGather.at;
     // An entry that started after the restore asks only once.
     const mayProceed = !sawBegin || waited > MAX_WAIT_MILLISECONDS;
     if (allAnswered || mayProceed) this.#gatheredEpoch = number;
--- a/packages/daemon/src/dispatch/open_questions.ts
+++ b/packages/daemon/src/dispatch/open_questions.ts
@@ -9,12 +9,12 @@
   /**
    * Resolves the promise of each question that has no answer yet, by number.
    */
-  readonly #open = new Map<number, (answer: wire.Message) => void>();
+  readonly #resolvers = new Map<number, (answer: wire.Message) => void>();
   #lastNumber = 0;
 
   /** Number of questions that have no answer yet. */
   get count(): number {
-    return this.#open.size;
+    return this.#resolvers.size;
   }
 
   /**
@@ -29,16 +29,16 @@
     const { send, build, timeoutMilliseconds } = parameters;
     const question = ++this.#lastNumber;
     const answer = new Promise<wire.Message>((resolve) =>
-      this.#open.set(question, resolve),
+      this.#resolvers.set(question, resolve),
     );
     send(build(question));
     const answered = await common.withTimeout(answer, timeoutMilliseconds);
-    this.#open.delete(question);
+    this.#resolvers.delete(question);
     return answered;
   }
 
   /** Accepts the answer to a question; ignores it if it arrives too late. */
   answer(question: number, message: wire.Message): void {
-    this.#open.get(question)?.(message);
+    this.#resolvers.get(question)?.(message);
   }
 }
--- a/packages/daemon/src/dispatch/outcome_recorder.ts
+++ b/packages/daemon/src/dispatch/outcome_recorder.ts
@@ -34,7 +34,7 @@
     switch (outcome.kind) {
       case request.AttemptOutcomeKind.Complete: {
         const answer = recording.answer;
-        const state = claimStore.ClaimState.Settled;
+        const state = claimStore.ClaimState.Completed;
         // The caller's answer does not wait for this write: until it is done, a
         // repeated request collects the answer from the runner.
         this.parameters.lifeCycle.run("settle", async () => {
@@ -50,7 +50,7 @@
         return { kind, finishReason, promptTokens, runner: name };
       }
       case request.AttemptOutcomeKind.Broken: {
-        const state = claimStore.ClaimState.Unsettled;
+        const state = claimStore.ClaimState.MayHaveRun;
         this.parameters.lifeCycle.run("settle", async () => {
           await this.changeClaim(key, stored, { state });
         });
--- a/packages/daemon/src/dispatch/outgoing_attempt.ts
+++ b/packages/daemon/src/dispatch/outgoing_attempt.ts
@@ -9,7 +9,7 @@
   Pieces = "pieces",
   End = "end",
   /** The upstream process reported what it knows of the attempt. */
-  Settled = "settled",
+  StateReported = "settled",
   /**
    * The upstream process was replaced; the new one does not know the attempt.
    */
@@ -28,7 +28,7 @@
   | { kind: AttemptEventKind.Head; head: wire.AnswerHead }
   | { kind: AttemptEventKind.Pieces; pieces: wire.AnswerPiece[] }
   | { kind: AttemptEventKind.End; end: wire.AttemptEnd }
-  | { kind: AttemptEventKind.Settled; state: wire.AttemptState }
+  | { kind: AttemptEventKind.StateReported; state: wire.AttemptState }
   | { kind: AttemptEventKind.UpstreamReplaced }
   | { kind: AttemptEventKind.Unreachable }
   | { kind: AttemptEventKind.Deadline }
--- a/packages/daemon/src/dispatch/stoppable_request.ts
+++ b/packages/daemon/src/dispatch/quarantine_handle.ts
@@ -2,7 +2,7 @@
 import type * as watchedRequests from "../quarantine/watched_requests.ts";
 
 /** An accepted request that the quarantine can identify and stop. */
-export class StoppableRequest implements watchedRequests.WatchedRequest {
+export class QuarantineHandle implements watchedRequests.WatchedRequest {
   /** Stops the current attempt, if that is allowed; unset between attempts. */
   onStop: (() => void) | undefined;
 
--- a/packages/daemon/src/dispatch/request.ts
+++ b/packages/daemon/src/dispatch/request.ts
@@ -1,7 +1,7 @@
 import type * as wire from "@geraniumkeel/wire";
 import type * as bodySender from "./body_sender.ts";
 import type * as runnerLink from "./runner_link.ts";
-import type * as stoppableRequest from "./stoppable_request.ts";
+import type * as quarantineHandle from "./quarantine_handle.ts";
 
 /** A request accepted from a caller. */
 export interface AcceptedRequest {
@@ -35,7 +35,7 @@
   /** Rest of a large body; it can be sent to one attempt only. */
   body?: bodySender.BodySender;
   /** Handle with which the quarantine identifies and stops the request. */
-  watched: stoppableRequest.StoppableRequest;
+  quarantineHandle: quarantineHandle.QuarantineHandle;
 }
 
 /** Kinds of results of a request, as the caller must distinguish them. */
--- a/packages/daemon/src/dispatch/runner_directory.ts
+++ b/packages/daemon/src/dispatch/runner_directory.ts
@@ -13,7 +13,7 @@
    * When the host list first lacked the runner, by this process's clock;
    * `undefined` while the list has it.
    */
-  unlistedAt: number | undefined;
+  notChosenSince: number | undefined;
 }
 
 /**
@@ -31,7 +31,7 @@
     readonly parameters: {
       hosts: hostView.HostView;
       lifeCycle: common.LifeCycle;
-      link: runnerLink.RunnerLinkParameters;
+      linkParameters: runnerLink.RunnerLinkParameters;
     },
   ) {}
 
@@ -67,8 +67,8 @@
   }
 
   #reconcile(signal: AbortSignal): void {
-    const { hosts, link } = this.parameters;
-    const { host, place, region } = link.settings;
+    const { hosts, linkParameters } = this.parameters;
+    const { host, place, region } = linkParameters.settings;
     const wanted = subscription.chooseRunners({
       self: { host, place, region },
       hosts: hosts.withRole(backingServices.HostRole.Upstream),
@@ -79,11 +79,11 @@
         listed?.state !== backingServices.HostState.Live;
       const moved = listed && listed.linkUrl !== runner.link.host.linkUrl;
       if (listed && !moved) {
-        runner.unlistedAt = undefined;
+        runner.notChosenSince = undefined;
         continue;
       }
       if (runner.link.attempts.size > 0) continue;
-      if (!moved && this.#mayBeListedAgain(runner)) continue;
+      if (!moved && this.#mayBeChosenAgain(runner)) continue;
       runner.stop.abort();
       this.#runners.delete(name);
     }
@@ -102,17 +102,20 @@
    * again. An open link is a better sign that the runner is still there, so a
    * linked runner stays until the list has lacked it for the time `goneAfter`.
    */
-  #mayBeListedAgain(runner: SubscribedRunner): boolean {
-    runner.unlistedAt ??= common.now();
-    const { goneAfter } = this.parameters.link.settings.timing;
-    const unlisted = common.now() - runner.unlistedAt;
-    return runner.link.linked && unlisted < goneAfter;
+  #mayBeChosenAgain(runner: SubscribedRunner): boolean {
+    runner.notChosenSince ??= common.now();
+    const { goneAfter } = this.parameters.linkParameters.settings.timing;
+    const notChosenMilliseconds = common.now() - runner.notChosenSince;
+    return runner.link.linked && notChosenMilliseconds < goneAfter;
   }
 
   #add(host: backingServices.Host, signal: AbortSignal): void {
-    const link = new runnerLink.RunnerLink(host, this.parameters.link);
+    const link = new runnerLink.RunnerLink(
+      host,
+      this.parameters.linkParameters,
+    );
     const stop = new AbortController();
-    this.#runners.set(host.name, { link, stop, unlistedAt: undefined });
+    this.#runners.set(host.name, { link, stop, notChosenSince: undefined });
     const stopped = AbortSignal.any([signal, stop.signal]);
     this.parameters.lifeCycle.run(`runner ${host.name}`, () =>
       link.run(stopped),
--- a/packages/daemon/src/dispatch/runner_link.ts
+++ b/packages/daemon/src/dispatch/runner_link.ts
@@ -29,7 +29,7 @@
   /** Called when prefix blocks entered or left the runner's cache. */
   onCacheEvents: (runner: RunnerLink, changes: wire.CacheChange[]) => void;
   /** Called when the runner is linked and may therefore accept work. */
-  onCapacity: () => void;
+  onLinked: () => void;
 }
 
 /** What the entry sends to the runner with an attempt. */
@@ -192,7 +192,7 @@
       // The runner was removed or its link lost after the request chose it.
       // Nothing is sent, and without this event the attempt might wait for
       // messages that never arrive.
-      const kind = outgoingAttempt.AttemptEventKind.Settled;
+      const kind = outgoingAttempt.AttemptEventKind.StateReported;
       const state = wire.AttemptState.NeverStarted;
       outgoing.events.push({ kind, state });
       return outgoing;
@@ -359,7 +359,7 @@
     link.onHeartbeat = (heartbeat) => (this.#upstreamClock = heartbeat.clock);
     for (const outgoing of this.attempts.values()) this.#resume(outgoing);
     logger.event(common.EventCode.LinkEstablished, { peer: this.host.name });
-    this.parameters.onCapacity();
+    this.parameters.onLinked();
     for await (const message of link.messages()) {
       if (link.end !== undefined) break;
       this.#handle(message);
@@ -456,7 +456,7 @@
   ): void {
     const { question, state } = message;
     if (question !== 0) return this.#questions.answer(question, message);
-    const kind = outgoingAttempt.AttemptEventKind.Settled;
+    const kind = outgoingAttempt.AttemptEventKind.StateReported;
     this.#findAttempt(message.identifier)?.events.push({ kind, state });
   }
 
--- a/packages/daemon/src/entry/create_context.ts
+++ b/packages/daemon/src/entry/create_context.ts
@@ -115,7 +115,7 @@
   const runners = new runnerDirectory.RunnerDirectory({
     hosts,
     lifeCycle,
-    link: {
+    linkParameters: {
       settings,
       incarnation,
       logger,
@@ -129,7 +129,7 @@
       },
       onCacheEvents: (runner, changes) =>
         router.applyCacheEvents(runner, changes),
-      onCapacity: pump,
+      onLinked: pump,
     },
   });
   const position = { host, place, region };
@@ -167,7 +167,7 @@
     logger,
     history,
     host,
-    settleAfterMilliseconds: timing.settleAfter,
+    settleTimeoutMilliseconds: timing.settleAfter,
     quarantine,
   });
   const dispatcher = new dispatcherModule.Dispatcher({
--- a/packages/daemon/src/entry/generate_handler.ts
+++ b/packages/daemon/src/entry/generate_handler.ts
@@ -4,7 +4,7 @@
 import * as neverthrow from "neverthrow";
 import * as wire from "@geraniumkeel/wire";
 import * as request from "../dispatch/request.ts";
-import * as stoppableRequest from "../dispatch/stoppable_request.ts";
+import * as quarantineHandle from "../dispatch/quarantine_handle.ts";
 import * as problem from "../operator/problem.ts";
 import * as fingerprint from "../quarantine/fingerprint.ts";
 import * as prefixIndex from "../routing/prefix_index.ts";
@@ -177,7 +177,7 @@
     prefixBlocks: prefixIndex.hashPrefixBlocks(prompt),
     runnerConcurrency: service.runnerConcurrency,
     window: WINDOW,
-    watched: new stoppableRequest.StoppableRequest(service.name, name),
+    quarantineHandle: new quarantineHandle.QuarantineHandle(service.name, name),
   };
 }
 
@@ -272,7 +272,9 @@
       const { reason } = result;
       metrics.count(common.Metric.Refusals, { reason });
       const held = reason === request.NotRunReason.Quarantined;
-      const fingerprint = held ? accepted.watched.fingerprint : undefined;
+      const fingerprint = held
+        ? accepted.quarantineHandle.fingerprint
+        : undefined;
       const facts = { identifier, reason, fingerprint };
       logger.event(common.EventCode.RequestRefused, facts);
       break;
--- a/packages/daemon/src/entry/plain_handler.ts
+++ b/packages/daemon/src/entry/plain_handler.ts
@@ -5,7 +5,7 @@
 import * as wire from "@geraniumkeel/wire";
 import * as bodySender from "../dispatch/body_sender.ts";
 import * as request from "../dispatch/request.ts";
-import * as stoppableRequest from "../dispatch/stoppable_request.ts";
+import * as quarantineHandle from "../dispatch/quarantine_handle.ts";
 import * as fingerprint from "../quarantine/fingerprint.ts";
 import * as acceptWork from "./accept_work.ts";
 import * as callerConnection from "./caller_connection.ts";
@@ -178,6 +178,6 @@
     runnerConcurrency: service.runnerConcurrency,
     window: WINDOW,
     body: rest && new bodySender.BodySender(rest),
-    watched: new stoppableRequest.StoppableRequest(service.name, name),
+    quarantineHandle: new quarantineHandle.QuarantineHandle(service.name, name),
   };
 }
