--- a/packages/daemon/src/dispatch/claim_removal.ts
+++ b/packages/daemon/src/dispatch/claim_removal.ts
@@ -2,14 +2,14 @@
 import type * as lease from "../lease/lease.ts";
 import type * as claimStore from "./claim_store.ts";
 
-/** Rows that are read at once. */
+/** Rows that are read in one batch. */
 const BATCH_ROWS = 200;
 
 /**
  * Removes claims past their retention, one batch of rows each period, until the
- * signal aborts. Only the entry that has the lease for this duty does so. The
- * lease saves work and is not needed for safety: two entries at once would only
- * delete the same rows.
+ * signal aborts. Only the entry that has the lease for this duty removes
+ * claims. The lease saves work and is not needed for safety: two entries that
+ * do so at the same time only delete the same rows.
  */
 export async function removeOldClaims(parameters: {
   claims: claimStore.ClaimStore;
--- a/packages/daemon/src/dispatch/claim_resolver.ts
+++ b/packages/daemon/src/dispatch/claim_resolver.ts
@@ -9,7 +9,7 @@
 import * as request from "./request.ts";
 import type * as runnerDirectory from "./runner_directory.ts";
 
-/** What an entry does about a claim that another request wrote before. */
+/** What resolving a claim that was in the table already gives. */
 export type ClaimResolution =
   /** The request has its final result. */
   | { kind: "result"; result: request.RequestResult }
@@ -21,8 +21,11 @@
 
 /**
  * Resolves a claim that is in the table already when a request arrives with the
- * same idempotency key: replays the stored answer, collects the answer of the
- * running attempt, or takes the claim over if the attempt never ran.
+ * same idempotency key. Depending on the state of the claimed attempt, it
+ * replays the stored answer, collects the answer from the runner, returns
+ * `MayHaveRun`, or lets the entry write its own claim because the attempt never
+ * ran. In the reason texts, which callers receive, "its" refers to the request
+ * that wrote the claim.
  */
 export class ClaimResolver {
   constructor(
@@ -30,12 +33,16 @@
       recorder: outcomeRecorder.OutcomeRecorder;
       runners: runnerDirectory.RunnerDirectory;
       logger: common.Logger;
+      /** Longest wait for a runner's answer to `RunnerLink.settle`. */
       settleTimeoutMilliseconds: number;
       quarantine: quarantine.Quarantine;
     },
   ) {}
 
-  /** Learns the outcome of the attempt that an existing claim names. */
+  /**
+   * Resolves an existing claim. `digest` is the digest of the present request;
+   * a claim with another one belongs to a different request.
+   */
   async resolve(
     accepted: request.AcceptedRequest,
     sink: answerSink.AnswerSink,
@@ -57,6 +64,10 @@
     }
   }
 
+  /**
+   * Settles a claimed attempt at its runner, and collects its answer if it is
+   * running or finished there.
+   */
   async #settleAttempt(
     accepted: request.AcceptedRequest,
     sink: answerSink.AnswerSink,
@@ -72,6 +83,7 @@
         outcomeRecorder.mayHaveRun("its runner cannot be asked now"),
       );
     }
+    // Another incarnation of the upstream process does not know the attempt.
     if (runner.hello.incarnation !== attempt.agentIncarnation) {
       await this.parameters.recorder.changeClaim(key, stored, {
         state: claimStore.ClaimState.MayHaveRun,
@@ -81,6 +93,8 @@
       );
     }
     const state = await runner.settle(attempt, settleTimeoutMilliseconds);
+    // Logged for every state, not only if the claim is taken over. `state` is
+    // `undefined` if the runner did not answer.
     logger.event(common.EventCode.ClaimTakenOver, {
       identifier: attempt.identifier,
       from: claim.entry,
@@ -131,8 +145,10 @@
 }
 
 /**
- * Sends the stored answer of a settled claim to the caller; `RanBefore` if none
- * is stored.
+ * Sends the stored answer of a completed claim to the caller. If no answer is
+ * stored, sends nothing and returns `RanBefore`. A claim stores neither the
+ * finish reason nor the number of prompt tokens, so a replayed answer always
+ * has `Stop` and 0.
  */
 async function replay(
   claim: claimStore.Claim,
--- a/packages/daemon/src/dispatch/claim_store.ts
+++ b/packages/daemon/src/dispatch/claim_store.ts
@@ -5,15 +5,25 @@
 
 /** What a claim says about its attempt. */
 export enum ClaimState {
-  /** The claim names an attempt; only its runner knows the outcome. */
+  /**
+   * The attempt's outcome is not written yet; only the attempt's runner may know
+   * it.
+   */
   Claimed = "claimed",
   /** The attempt ran to completion. */
   Completed = "settled",
-  /** The attempt may have run, and its outcome cannot be learned. */
+  /**
+   * The attempt may have run, and no entry can get a complete answer any more:
+   * the answer broke off, the upstream process was replaced, or it no longer
+   * has the outcome.
+   */
   MayHaveRun = "unsettled",
 }
 
-/** Answer stored with a settled claim, for repeated requests. */
+/**
+ * Answer stored with a completed claim, for a caller that sends the request
+ * again.
+ */
 export interface StoredAnswer {
   head: wire.AnswerHead;
   /** Body in base64. */
@@ -49,7 +59,7 @@
 /** Outcome of writing a claim. */
 export type ClaimWriteResult =
   | { kind: "written"; stored: StoredClaim }
-  /** The row is not at the expected revision: `stored` is there instead. */
+  /** The row is not at the expected revision and contains `stored`. */
   | { kind: "exists"; stored: StoredClaim }
   /** The table service did not confirm the write; it may have taken effect. */
   | { kind: "store-unavailable" };
@@ -79,8 +89,8 @@
    * Writes a claim if there is none, or in place of `base`. An entry writes the
    * claim, with the runner's name, before it sends the request to that runner.
    * Any entry that finds the claim later can therefore settle the attempt at
-   * the runner, even if the entry that wrote it is only paused and sends its
-   * request afterwards.
+   * the runner. If the entry that wrote the claim is only paused and sends the
+   * attempt afterwards, the runner refuses it.
    */
   async write(parameters: {
     key: string;
@@ -119,9 +129,9 @@
 
   /**
    * Reads up to `limit` rows from the key `from` on, or from the first claim if
-   * it is empty, and removes those created before a wall-clock time in
-   * milliseconds. Returns how many it removed and the key from which to go on;
-   * `next` is `undefined` after the last row.
+   * `from` is empty, and removes the claims created before `before`, a
+   * wall-clock time in milliseconds. Returns how many it removed and, as `next`,
+   * the key from which to continue; `next` is `undefined` after the last row.
    */
   async removeBatch(parameters: {
     before: number;
--- a/packages/daemon/src/dispatch/follow_attempt.ts
+++ b/packages/daemon/src/dispatch/follow_attempt.ts
@@ -10,7 +10,7 @@
 /** Engines do not report the version of their software. */
 const UNKNOWN_VERSION = "";
 
-/** An attempt that was sent to a runner, and what following it needs. */
+/** An attempt that an entry follows, and what following it needs. */
 export interface FollowedAttempt {
   runner: runnerLink.RunnerLink;
   outgoing: outgoingAttempt.OutgoingAttempt;
@@ -21,8 +21,11 @@
 
 /**
  * Follows one attempt to its outcome and passes its answer on to the caller.
- * Only a message of the runner settles an attempt. A lost link settles nothing,
- * as the attempt may still be running.
+ * The loss of a link is no outcome: the attempt may still be running, and
+ * resumes on the next link. Whether it ran is known for certain (the attempt is
+ * settled) only from a message of the runner. The entry may also stop following
+ * before that: at the deadline, when the caller disconnects, when the request is
+ * quarantined, or when it gives the runner up (`Unsettled`).
  */
 export async function followAttempt(
   parameters: FollowedAttempt,
@@ -35,7 +38,7 @@
   if (accepted.signal.aborted) onCallerGone();
   const startedAt = common.now();
   // The quarantine stops a request only if it is repeatable and the caller has
-  // received nothing of its answer. All others run on until they finish.
+  // received nothing of its answer. Other requests run until they finish.
   accepted.quarantineHandle.onStop = () => {
     if (!accepted.repeatable || sink.delivered) return;
     events.push({ kind: AttemptEventKind.Quarantined });
@@ -48,12 +51,13 @@
     const outcome = await awaitOutcome(parameters);
     reportToQuarantine(parameters, outcome, startedAt);
     const stopped = hasWorkStopped(outcome);
-    // The runner goes on after this entry gives up, so a repeatable request is
-    // cancelled there. A non-repeatable request runs on until it finishes: it
-    // would be of no use half done.
+    // The runner continues after this entry stops following, so the entry
+    // cancels a repeatable request there. It lets a non-repeatable request
+    // finish: no other attempt may follow, so stopping the work half-way would
+    // help nobody.
     if (!stopped && accepted.repeatable) runner.cancel(attempt);
-    // The runner retains the answer of a keyed request until its claim is
-    // written.
+    // The runner retains the answer of a keyed request until the outcome is
+    // written to the claim (`OutcomeRecorder` then lets the runner drop it).
     const isKeyed = accepted.idempotencyKey !== undefined;
     runner.close(attempt, stopped && !isKeyed);
     return outcome;
@@ -66,7 +70,8 @@
 
 /**
  * Reports to the quarantine that a request was answered, or that a runner
- * crashed while it ran the request.
+ * crashed while it ran the request. `endedLife` and `life` are the incarnation
+ * that crashed; `AttemptOutcome` says whose.
  */
 function reportToQuarantine(
   { runner, accepted, quarantine }: FollowedAttempt,
@@ -99,7 +104,11 @@
   }
 }
 
-/** Whether the runner has certainly stopped work on an attempt. */
+/**
+ * Whether an attempt with this outcome needs no cancellation, and the runner may
+ * drop its answer. `Broken` counts as stopped even if this entry broke the
+ * answer off itself because pieces were missing.
+ */
 function hasWorkStopped(outcome: request.AttemptOutcome): boolean {
   switch (outcome.kind) {
     case request.AttemptOutcomeKind.Complete:
@@ -134,7 +143,7 @@
       case AttemptEventKind.Pieces:
         await sink.pieces(event.pieces);
         passedOn += event.pieces.length;
-        // Acknowledges at every half window, to save messages.
+        // Acknowledges once per half window, to save messages.
         if (passedOn - acknowledged >= accepted.window / 2) {
           acknowledged = passedOn;
           runner.acknowledge(identifier, acknowledged);
@@ -161,20 +170,22 @@
       case AttemptEventKind.Quarantined:
         return { kind: AttemptOutcomeKind.Quarantined };
       case AttemptEventKind.CallerGone:
-        // A keyed request that may not be repeated is followed further, because
-        // its outcome must go into its claim.
+        // A keyed request is followed to its outcome, because the outcome must
+        // be written to the claim.
         if (accepted.repeatable || accepted.idempotencyKey === undefined) {
           return { kind: AttemptOutcomeKind.CallerGone };
         }
         break;
     }
   }
+  // Reached only if `events` is closed, which nothing does today: when the entry
+  // stops, the runner's link sends `Unreachable`.
   return unsettled("entry stopping");
 }
 
 /**
  * Outcome of an attempt that the runner refused: it never started. The cause
- * decides whether the next attempt is charged as a retry.
+ * decides whether the next attempt is charged to the service's retry budget.
  */
 function refusedOutcome(reason: wire.RefusalReason): request.AttemptOutcome {
   const kind = request.AttemptOutcomeKind.NeverStarted;
@@ -216,7 +227,11 @@
   }
 }
 
-/** Outcome of an attempt whose state the runner reported without an answer. */
+/**
+ * Outcome of an attempt of which the upstream process has no record: it reports
+ * a state, and neither pieces nor an end. It does so only when the entry
+ * resumes such an attempt, so `Running` and `Finished` do not occur here.
+ */
 function outcomeOfState(state: wire.AttemptState): request.AttemptOutcome {
   const { AttemptOutcomeKind } = request;
   switch (state) {
--- a/packages/daemon/src/dispatch/outcome_recorder.ts
+++ b/packages/daemon/src/dispatch/outcome_recorder.ts
@@ -6,9 +6,9 @@
 import type * as runnerLink from "./runner_link.ts";
 
 /**
- * Records the outcomes of attempts in their claims, so that a repeated request
- * with the same idempotency key can be answered, and turns each outcome into
- * the result for the caller.
+ * Records the outcomes of attempts in their claims, so that entries can answer
+ * a request that the caller sends again with the same idempotency key, and
+ * turns each outcome into the result for the caller.
  */
 export class OutcomeRecorder {
   constructor(
@@ -19,8 +19,9 @@
   ) {}
 
   /**
-   * Returns the caller's result at once and writes a final outcome to the claim
-   * in the background.
+   * Returns the caller's result at once. If the attempt completed or broke off,
+   * writes that to the claim in the background; after any other outcome the
+   * claim stays in the state `Claimed`.
    */
   recordOutcome(parameters: {
     key: string;
@@ -35,8 +36,9 @@
       case request.AttemptOutcomeKind.Complete: {
         const answer = recording.answer;
         const state = claimStore.ClaimState.Completed;
-        // The caller's answer does not wait for this write: until it is done, a
-        // repeated request collects the answer from the runner.
+        // The caller's result does not wait for this write. Until the write is
+        // done, a request that the caller sends again collects the answer from
+        // the runner, which may drop the answer only afterwards.
         this.parameters.lifeCycle.run("settle", async () => {
           const written = await this.changeClaim(key, stored, {
             state,
@@ -57,8 +59,7 @@
         return unfinishedResult(recording, outcome.reason);
       }
       case request.AttemptOutcomeKind.Unsettled:
-        // The claim stays in the state `Claimed`: once the runner is reachable
-        // again, it can still report the outcome.
+        // Once the runner is reachable again, it can still report the outcome.
         return unfinishedResult(recording, outcome.reason);
       case request.AttemptOutcomeKind.Deadline:
         return unfinishedResult(recording, "deadline passed");
@@ -71,8 +72,9 @@
   }
 
   /**
-   * Changes a claim. Returns false if another entry has changed it since it was
-   * read or written here, or if the table service does not answer.
+   * Changes a claim in the table. Returns false if the row has changed since
+   * this entry read or wrote it, or if the table service does not confirm the
+   * write.
    */
   async changeClaim(
     key: string,
