--- a/packages/daemon/src/dispatch/open_questions.ts
+++ b/packages/daemon/src/dispatch/open_questions.ts
@@ -3,11 +3,12 @@
 
 /**
  * Messages sent over a link that expect an answer. Each such question has a
- * number, and the answer repeats that number.
+ * number, from 1, and the answer repeats that number.
  */
 export class OpenQuestions {
   /**
-   * Resolves the promise of each question that has no answer yet, by number.
+   * Functions that resolve the promises of the questions without an answer, by
+   * question number.
    */
   readonly #resolvers = new Map<number, (answer: wire.Message) => void>();
   #lastNumber = 0;
@@ -37,7 +38,7 @@
     return answered;
   }
 
-  /** Accepts the answer to a question; ignores it if it arrives too late. */
+  /** Accepts an answer; ignores one that arrives after the timeout. */
   answer(question: number, message: wire.Message): void {
     this.#resolvers.get(question)?.(message);
   }
--- a/packages/daemon/src/dispatch/quarantine_handle.ts
+++ b/packages/daemon/src/dispatch/quarantine_handle.ts
@@ -1,9 +1,16 @@
 import * as fingerprint from "../quarantine/fingerprint.ts";
 import type * as watchedRequests from "../quarantine/watched_requests.ts";
 
-/** An accepted request that the quarantine can identify and stop. */
+/**
+ * Handle of an accepted request by which the quarantine reads the request's
+ * fingerprint and stops its current attempt.
+ */
 export class QuarantineHandle implements watchedRequests.WatchedRequest {
-  /** Stops the current attempt, if that is allowed; unset between attempts. */
+  /**
+   * Stops the current attempt; `undefined` between attempts. `followAttempt`
+   * sets it, and ignores the call if the request is not repeatable or the
+   * caller has received part of the answer.
+   */
   onStop: (() => void) | undefined;
 
   constructor(
@@ -16,7 +23,7 @@
     return this.lazyFingerprint.value;
   }
 
-  /** Stops the current attempt, because the request was put in quarantine. */
+  /** Called when the request is quarantined; calls `onStop` if it is set. */
   stop(): void {
     this.onStop?.();
   }
--- a/packages/daemon/src/dispatch/runner_directory.ts
+++ b/packages/daemon/src/dispatch/runner_directory.ts
@@ -10,20 +10,27 @@
   /** Stops the task that maintains the link. */
   stop: AbortController;
   /**
-   * When the host list first lacked the runner, by this process's clock;
-   * `undefined` while the list has it.
+   * Since when `subscription.chooseRunners` has not chosen the runner from the
+   * host list, by this process's clock; `undefined` while it chooses the
+   * runner.
    */
   notChosenSince: number | undefined;
 }
 
 /**
- * The runners that this entry subscribes to: it links to them and may send them
- * requests. A runner that the host list calls leaving or no longer contains
- * gets no new work. The directory removes a runner that the list has lacked for
- * some time, once it has no open attempts.
+ * The runners that this entry subscribes to, that is, that
+ * `subscription.chooseRunners` chooses from the host list. The entry links to
+ * them and may send them requests. A runner that the host list calls leaving,
+ * or that is no longer chosen, gets no new work. The directory removes a runner
+ * once it has no open attempts and its URL has changed, or it is no longer
+ * chosen and either has no link or has not been chosen for the time
+ * `goneAfter`.
  */
 export class RunnerDirectory {
-  /** Announces that the directory has applied the host list. */
+  /**
+   * Announced whenever the directory has applied the host list, whether or not
+   * the set of runners changed.
+   */
   readonly changed = new common.ChangeNotice();
   readonly #runners = new Map<string, SubscribedRunner>();
 
@@ -35,17 +42,17 @@
     },
   ) {}
 
-  /** All runners. */
+  /** All runners that this entry subscribes to. */
   get all(): runnerLink.RunnerLink[] {
     return [...this.#runners.values()].map(({ link }) => link);
   }
 
-  /** Runners of a service. */
+  /** Those of the runners that serve a service. */
   ofService(service: string): runnerLink.RunnerLink[] {
     return this.all.filter((runner) => runner.host.service === service);
   }
 
-  /** Runners that reported to be ranks of a group. */
+  /** Those of the runners whose hello says that they are ranks of a group. */
   ofGroup(group: string): runnerLink.RunnerLink[] {
     return this.all.filter((runner) => runner.hello?.group === group);
   }
@@ -57,7 +64,11 @@
     return this.#runners.get(host)?.link;
   }
 
-  /** Applies each change of the host list until the signal aborts. */
+  /**
+   * Applies the host list until the signal aborts: after each change, and again
+   * after 1,000 ms without a change, because the removal of a runner also
+   * depends on the time elapsed and on its open attempts.
+   */
   async run(signal: AbortSignal): Promise<void> {
     const { hosts } = this.parameters;
     while (!signal.aborted) {
@@ -74,6 +85,8 @@
       hosts: hosts.withRole(backingServices.HostRole.Upstream),
     });
     for (const [name, runner] of this.#runners) {
+      // `undefined` if the runner is no longer chosen, even if the host list
+      // still contains it.
       const listed = wanted.get(name);
       runner.link.listedLeaving =
         listed?.state !== backingServices.HostState.Live;
@@ -95,12 +108,15 @@
   }
 
   /**
-   * Whether the host list may soon contain a runner again that it lacks now.
-   * The list lags, and a read may return an older list than the one before. If
-   * the directory removed a rank for that reason during a switch of the expert
-   * map, all ranks of its group would hold until the list contains the rank
-   * again. An open link is a better sign that the runner is still there, so a
-   * linked runner stays until the list has lacked it for the time `goneAfter`.
+   * Whether a runner that is not chosen now may soon be chosen again, because
+   * the host list lacks it only for a moment: the list lags, and a read may
+   * return an older list than the one before. Suppose that this entry leads the
+   * switch of a group's expert map and the directory removed a rank of the
+   * group. The entry could not send the rank the order to go on; its engine,
+   * and with it all ranks of the group, would hold until the list contains the
+   * rank again. An open link is a better sign that the runner is still there,
+   * so a linked runner stays until it has not been chosen for `goneAfter`
+   * milliseconds.
    */
   #mayBeChosenAgain(runner: SubscribedRunner): boolean {
     runner.notChosenSince ??= common.now();
--- a/packages/daemon/src/dispatch/runner_link.ts
+++ b/packages/daemon/src/dispatch/runner_link.ts
@@ -9,7 +9,7 @@
 import * as outgoingAttempt from "./outgoing_attempt.ts";
 import * as pendingDispatches from "./pending_dispatches.ts";
 
-/** Pauses between tries to connect, the first one and the longest. */
+/** Pauses between tries to open a link: the first and the longest. */
 const INITIAL_PAUSE_MILLISECONDS = 50;
 const MAX_PAUSE_MILLISECONDS = 1_000;
 
@@ -28,11 +28,11 @@
   onLoad: (runner: RunnerLink) => void;
   /** Called when prefix blocks entered or left the runner's cache. */
   onCacheEvents: (runner: RunnerLink, changes: wire.CacheChange[]) => void;
-  /** Called when the runner is linked and may therefore accept work. */
+  /** Called when a link to the runner opens, so that it may accept work. */
   onLinked: () => void;
 }
 
-/** What the entry sends to the runner with an attempt. */
+/** What `RunnerLink.dispatch` needs to send an attempt. */
 export interface DispatchParameters {
   identifier: string;
   account: string;
@@ -43,30 +43,35 @@
    */
   window: number;
   work: wire.Work;
+  /** Counted as pending load of the runner until a load report includes it. */
   promptTokens: number;
   /** Attempts that the runner may have at once. */
   limit: number;
-  /** The claim that names the attempt, for requests with an idempotency key. */
+  /**
+   * Key and digest of the claim that names this attempt, for keyed requests.
+   * The upstream process reports them after the table has been restored.
+   */
   claim?: wire.AttemptClaim;
   /** Rest of the request body, if `work` says that it follows in pieces. */
   body?: bodySender.BodySender;
 }
 
 /**
- * An entry's state for one runner: the link to its upstream process, its last
- * reported load, and the open attempts. Open attempts outlive a lost
- * connection: they resume on the next one, unless the upstream process was
- * replaced or stays unreachable for the time `settleAfter`.
+ * An entry's state for one runner: the current link to its upstream process,
+ * its last reported load, and the open attempts. This state outlives each link.
+ * Open attempts resume on the next link, unless the upstream process was
+ * replaced or there is no link for `settleAfter` milliseconds.
  */
 export class RunnerLink {
   /** Open attempts by identifier. */
   readonly attempts = new Map<string, outgoingAttempt.OutgoingAttempt>();
   /** Load as last reported. */
   load = wire.idleLoad();
-  /** The upstream process's first message on the last link. */
+  /** The upstream process's hello on the current or the last link. */
   hello: wire.Hello | undefined;
   /**
-   * Whether the host list calls the runner leaving or no longer contains it.
+   * Whether the host list calls the runner leaving, or the directory no longer
+   * chooses it from the list. The directory sets this.
    */
   listedLeaving = false;
   /**
@@ -74,7 +79,11 @@
    * because an operator drains it. Applies to its present incarnation only.
    */
   #announcedLeaving = false;
-  /** When the rank's engine last made an iteration or had nothing to do. */
+  /**
+   * When the upstream process last reported a new iteration or that its engine
+   * has nothing to do, or sent its hello. The router suspends a rank that has
+   * work but makes no progress for too long.
+   */
   progressAt = common.now();
   #isFull = false;
   /** Work of this entry that the last load report does not include. */
@@ -82,9 +91,16 @@
   #link: wire.Link | undefined;
   /** Number of links opened to this runner so far. */
   #linkNumber = 0;
-  /** Runs while there is no link. When it fires, all open attempts fail. */
+  /**
+   * Runs from the loss of a link to the next one. When it fires, the entry
+   * gives up all open attempts.
+   */
   #giveUpTimer: NodeJS.Timeout | undefined;
-  /** The upstream process's clock as last received, never extrapolated. */
+  /**
+   * The upstream process's clock in milliseconds, as last received and never
+   * extrapolated. A new attempt carries it as `issuedAt`, so that the upstream
+   * process compares it with its own clock only.
+   */
   #upstreamClock = 0;
   readonly #questions = new openQuestions.OpenQuestions();
 
@@ -93,7 +109,10 @@
     readonly parameters: RunnerLinkParameters,
   ) {}
 
-  /** Whether the runner is leaving by the host list or its own report. */
+  /**
+   * Whether the runner is leaving, by the directory (`listedLeaving`) or by its
+   * own report.
+   */
   get leaving(): boolean {
     return this.listedLeaving || this.#announcedLeaving;
   }
@@ -108,12 +127,15 @@
     return this.#link !== undefined;
   }
 
-  /** Message and byte counts of the open link. */
+  /** Message and byte counts of the open link; `undefined` without one. */
   get counts(): wire.LinkCounts | undefined {
     return this.#link?.counts;
   }
 
-  /** Reported sequences, plus this entry's requests that the report lacks. */
+  /**
+   * Sequences by the last load report, plus this entry's requests that the
+   * report does not include.
+   */
   get sequences(): number {
     return this.load.sequences + this.#pending.count;
   }
@@ -125,7 +147,10 @@
     return this.#isFull;
   }
 
-  /** Prompt tokens of this entry's requests that the load report lacks. */
+  /**
+   * Prompt tokens of this entry's requests that the last load report does not
+   * include.
+   */
   get pendingTokens(): number {
     return this.#pending.promptTokens;
   }
@@ -146,7 +171,10 @@
     return { identifier, agentIncarnation: incarnation, issuedAt };
   }
 
-  /** Maintains a link to the runner until the signal aborts. */
+  /**
+   * Maintains a link to the runner until the signal aborts, then gives up all
+   * open attempts.
+   */
   async run(signal: AbortSignal): Promise<void> {
     const backOff = new common.BackOff({
       firstMilliseconds: INITIAL_PAUSE_MILLISECONDS,
@@ -189,9 +217,9 @@
       dispatch.body,
     );
     if (!this.#link) {
-      // The runner was removed or its link lost after the request chose it.
-      // Nothing is sent, and without this event the attempt might wait for
-      // messages that never arrive.
+      // The runner was removed, or its link was lost, after the request chose
+      // it. The entry sends nothing. Without this event, `followAttempt` might
+      // wait for messages that never arrive.
       const kind = outgoingAttempt.AttemptEventKind.StateReported;
       const state = wire.AttemptState.NeverStarted;
       outgoing.events.push({ kind, state });
@@ -217,7 +245,10 @@
     return outgoing;
   }
 
-  /** Opens an attempt that was dispatched before, to collect its answer. */
+  /**
+   * Opens an attempt that this or another entry dispatched before, to collect
+   * its answer.
+   */
   collect(
     attempt: wire.Attempt,
     window: number,
@@ -235,8 +266,8 @@
   }
 
   /**
-   * Closes an attempt; later messages about it are ignored. With `release`, the
-   * runner may drop its answer.
+   * Closes an attempt, so that later messages about it are ignored. If
+   * `release` is true, tells the runner that it may drop the attempt's answer.
    */
   close(attempt: wire.Attempt, release: boolean): void {
     const { identifier } = attempt;
@@ -245,15 +276,19 @@
     if (release) this.#link?.send({ kind, identifier });
   }
 
-  /** Has the runner stop an attempt, or refuse it if it arrives later. */
+  /**
+   * Tells the runner to stop an attempt, or to refuse it if it arrives later.
+   */
   cancel(attempt: wire.Attempt): void {
     this.#link?.send({ kind: wire.MessageKind.Cancel, attempt });
   }
 
   /**
-   * Asks the runner for the state of an attempt, and has it refuse the attempt
-   * for good if it has not started. Returns `undefined` if no answer arrives
-   * within the timeout.
+   * Settles an attempt: learns from the runner for certain what became of it. A
+   * runner that has not started the attempt refuses it from then on, so that
+   * `NeverStarted` is final. If the state is `Running` or `Finished`, `collect`
+   * gives the outcome. Returns `undefined` if no answer arrives within the
+   * timeout.
    */
   async settle(
     attempt: wire.Attempt,
@@ -268,7 +303,7 @@
   }
 
   /**
-   * Reads the claims of attempts that the upstream process was recently sent;
+   * Reads the claims of attempts that recently started at the upstream process;
    * `undefined` if no answer arrives within the timeout.
    */
   async readClaims(
@@ -284,8 +319,11 @@
   }
 
   /**
-   * Sends an order of the group's leader; `undefined` if no answer arrives
-   * within the timeout, so that the order may have been carried out or not.
+   * Sends the rank an order of its group's coordinator, such as a step of a
+   * switch of the expert map. `agentIncarnation` is the incarnation of the
+   * upstream process for which the order is meant. Returns `undefined` if there
+   * is no link or no answer arrives within the timeout; the rank may then have
+   * carried out the order or not.
    */
   async order(
     order: wire.Order,
@@ -337,8 +375,8 @@
   }
 
   /**
-   * Handles the messages of one connection until it closes. Returns false if
-   * the upstream process never sent its hello.
+   * Handles the messages of one link until it ends. Returns false if the
+   * upstream process sent no hello.
    */
   async #serve(link: wire.Link, signal: AbortSignal): Promise<boolean> {
     const { settings, incarnation, logger } = this.parameters;
@@ -361,6 +399,9 @@
     logger.event(common.EventCode.LinkEstablished, { peer: this.host.name });
     this.parameters.onLinked();
     for await (const message of link.messages()) {
+      // Drops messages that were not handled before the link ended. The runner
+      // sends the pieces among them again when the attempts resume on the next
+      // link.
       if (link.end !== undefined) break;
       this.#handle(message);
     }
@@ -375,8 +416,9 @@
   }
 
   /**
-   * Applies the first message of a new connection. If it comes from another
-   * incarnation, the open attempts are lost.
+   * Applies the hello of a new link. If it comes from another incarnation of
+   * the upstream process, gives up the open attempts, which that one does not
+   * know.
    */
   #acceptHello(hello: wire.Hello): void {
     const replaced =
@@ -455,14 +497,17 @@
     message: Extract<wire.Message, { kind: wire.MessageKind.Settled }>,
   ): void {
     const { question, state } = message;
+    // 0 means that no question asked for the state: the upstream process has no
+    // record of an attempt that this entry resumed.
     if (question !== 0) return this.#questions.answer(question, message);
     const kind = outgoingAttempt.AttemptEventKind.StateReported;
     this.#findAttempt(message.identifier)?.events.push({ kind, state });
   }
 
   /**
-   * The open attempt with an identifier. A message for any other attempt is
-   * stale: its request is finished.
+   * The open attempt with an identifier. If there is none, the message that
+   * names it is stale, because this entry has closed the attempt, and is
+   * counted.
    */
   #findAttempt(
     identifier: string,
@@ -478,6 +523,8 @@
     const { load, dispatches } = message;
     const iterated = load.step !== this.load.step;
     if (iterated || load.sequences === 0) this.progressAt = common.now();
+    // The engine had nothing to do at the report before, so the time without an
+    // iteration counts from this report on.
     if (this.load.sequences === 0) this.progressAt = common.now();
     this.load = load;
     this.#isFull = false;
@@ -504,8 +551,8 @@
   }
 
   /**
-   * Gives all open attempts their final event, because no more messages about
-   * them will arrive.
+   * Gives up all open attempts: `followAttempt` returns `Unsettled` for them
+   * and closes them. They may still run at the runner.
    */
   #giveUpAll(event: outgoingAttempt.AttemptEvent): void {
     for (const outgoing of this.attempts.values()) outgoing.events.push(event);
--- a/packages/daemon/src/dispatch/runner_obtainer.ts
+++ b/packages/daemon/src/dispatch/runner_obtainer.ts
@@ -20,6 +20,10 @@
  * decides on retries.
  */
 export interface RunnerObtainer {
+  /**
+   * Waits for a runner. `wasAdmitted` says that the service's queue admitted
+   * the request before, for an earlier attempt.
+   */
   obtainRunner(
     accepted: request.AcceptedRequest,
     excluded: ReadonlySet<string>,
