--- a/packages/daemon/src/dispatch/subscription_test.ts
+++ b/packages/daemon/src/dispatch/subscription_test.ts
@@ -4,6 +4,8 @@
 
 const test = ava.default;
 
+// The place and the region of a group are numbered independently of each other,
+// so here a place spans several regions.
 function upstreams(groups: number, ranks: number): backingServices.Host[] {
   return Array.from({ length: groups * ranks }, (_, index) => {
     const group = Math.floor(index / ranks);
@@ -29,13 +31,14 @@
   return new Set(subscription.chooseRunners({ self, hosts }).keys());
 }
 
-test("all runners of a service are linked if there are few", (t) => {
+test("an entry chooses all runners of a service that has few", (t) => {
   t.is(namesChosenBy("entry-0", upstreams(1, 16)).size, 16);
 });
 
-test("an entry links to a bounded number of runners, in complete groups", (t) => {
+test("an entry chooses complete groups until it has enough runners", (t) => {
   const hosts = upstreams(24, 64);
   const chosen = namesChosenBy("entry-0", hosts);
+  // Two groups of 64 ranks make exactly the minimum of 128 runners.
   t.is(chosen.size, subscription.MIN_SUBSCRIBED_RUNNERS);
   const groups = new Set(
     hosts.filter(({ name }) => chosen.has(name)).map(({ group }) => group),
@@ -43,8 +46,10 @@
   t.is(groups.size, subscription.MIN_SUBSCRIBED_RUNNERS / 64);
 });
 
-test("each group is linked by at least two of 330 entries", (t) => {
+test("each group is chosen by at least two of 330 entries", (t) => {
   const hosts = upstreams(24, 64);
+  // Chosen ranks of each group, summed over all entries: an entry that chooses
+  // a group adds its 64 ranks.
   const counts = new Map<string, number>();
   for (let index = 0; index < 330; index++) {
     const self = {
