--- a/packages/daemon/src/dispatch/claim_resolver.ts
+++ b/packages/daemon/src/dispatch/claim_resolver.ts
@@ -9,7 +9,7 @@
 import * as request from "./request.ts";
 import type * as runnerDirectory from "./runner_directory.ts";
 
-/** What resolving a claim that was in the table already gives. */
+/** Result of resolving a claim that was already in the table. */
 export type ClaimResolution =
   /** The request has its final result. */
   | { kind: "result"; result: request.RequestResult }
@@ -24,8 +24,8 @@
  * same idempotency key. Depending on the state of the claimed attempt, it
  * replays the stored answer, collects the answer from the runner, returns
  * `MayHaveRun`, or lets the entry write its own claim because the attempt never
- * ran. In the reason texts, which callers receive, "its" refers to the request
- * that wrote the claim.
+ * ran. In the reason texts, which callers receive, "its" refers to the claimed
+ * attempt.
  */
 export class ClaimResolver {
   constructor(
--- a/packages/daemon/src/dispatch/claim_store.ts
+++ b/packages/daemon/src/dispatch/claim_store.ts
@@ -6,8 +6,8 @@
 /** What a claim says about its attempt. */
 export enum ClaimState {
   /**
-   * The attempt's outcome is not written yet; only the attempt's runner may know
-   * it.
+   * The attempt's outcome is not written yet; only the attempt's runner may
+   * know it.
    */
   Claimed = "claimed",
   /** The attempt ran to completion. */
@@ -130,8 +130,9 @@
   /**
    * Reads up to `limit` rows from the key `from` on, or from the first claim if
    * `from` is empty, and removes the claims created before `before`, a
-   * wall-clock time in milliseconds. Returns how many it removed and, as `next`,
-   * the key from which to continue; `next` is `undefined` after the last row.
+   * wall-clock time in milliseconds. Returns how many it removed and, as
+   * `next`, the key from which to continue; `next` is `undefined` after the
+   * last row.
    */
   async removeBatch(parameters: {
     before: number;
--- a/packages/daemon/src/dispatch/keyed_requests.ts
+++ b/packages/daemon/src/dispatch/keyed_requests.ts
@@ -31,22 +31,24 @@
   history: common.HistoryRecorder;
   /** Host of this entry. */
   host: string;
-  /** Longest wait for a runner's answer about an attempt. */
+  /** Longest wait for a runner's answer to `RunnerLink.settle`. */
   settleTimeoutMilliseconds: number;
   quarantine: quarantine.Quarantine;
   lostClaims: lostClaims.LostClaims;
 }
 
 /**
- * Runs requests that may not be repeated but have an idempotency key, with
- * which the caller may send them again at any entry. The claim in the table
- * names at most one attempt at a time. An entry settles that attempt at its
- * runner before it names another one, so that the request never runs twice.
+ * Runs non-repeatable requests that have an idempotency key. Such a request
+ * runs at most once, although the caller may send it again with the same key,
+ * at any entry. The key's claim in the table names at most one attempt at a
+ * time. Before an entry writes a claim that names another attempt, it settles
+ * the named attempt at that attempt's runner: the new attempt may follow only
+ * if the named one never started and never will.
  */
 export class KeyedRequests {
   /**
    * Requests that run at this entry, by claim key. A second request with the
-   * same key waits for the first.
+   * same key waits until the first has its result.
    */
   readonly #running = new Map<string, Promise<unknown>>();
   readonly #recorder: outcomeRecorder.OutcomeRecorder;
@@ -79,7 +81,8 @@
         other.then(() => true),
         remaining,
       );
-      // The other request is not finished by the deadline and may have run.
+      // The other request is not finished by this one's deadline and may have
+      // run.
       if (!finished) {
         const reason = "a request with this key is under way";
         return { kind: request.ResultKind.MayHaveRun, reason };
@@ -109,6 +112,7 @@
     let base: claimStore.StoredClaim | undefined;
     let failures = 0;
     for (let attempts = 1; ; attempts++) {
+      // The queue admitted the request for its first attempt.
       const wasAdmitted = attempts > 1;
       const obtained = await obtainer.obtainRunner(
         accepted,
@@ -134,10 +138,11 @@
         base,
       });
       clearTimeout(reservationTimer);
-      // From here on the dispatch itself counts. No other code runs in between.
+      // The dispatch below counts towards the runner's load itself. Other code
+      // may run before it, because gathering lost claims is asynchronous.
       release();
       if (written.kind === "store-unavailable") {
-        // Nothing was sent, and nothing may be sent without a claim.
+        // No attempt was sent, and none may be sent without a claim.
         return obtainer.notRun(request.NotRunReason.StoreUnavailable);
       }
       if (written.kind === "exists") {
@@ -154,9 +159,9 @@
         continue;
       }
       const { lostClaims: lost } = this.parameters;
-      // If the lost claims are not known, the attempt is not sent. Its claim
-      // may stay: a later request learns from the runner that the attempt never
-      // ran.
+      // Until the lost claims are gathered, no attempt is sent. The claim that
+      // was just written may stay: a later request with this key learns from
+      // the runner that the attempt never started.
       if (!(await lost.gather())) {
         return obtainer.notRun(request.NotRunReason.StoreUnavailable);
       }
@@ -174,6 +179,7 @@
       lost.remember(key, written.stored.claim);
       base = written.stored;
       const recording = new recordingSink.RecordingSink(sink);
+      // What the runner is sent of the claim.
       const claim = { key, digest };
       const sent = { ...accepted, identifier, limit, claim };
       const outgoing = runner.dispatch(attempt, sent);
@@ -204,8 +210,10 @@
   }
 
   /**
-   * Writes a claim that the table had lost in place of the later one that this
-   * entry wrote for the same key, and resolves it.
+   * Replaces the claim that this entry has just written (`own`) by an earlier
+   * claim for the same key, which the table had lost, and resolves the earlier
+   * one. If another entry has changed the row in the meantime, resolves the
+   * claim that is in the row instead.
    */
   async #restoreEarlier(
     earlier: Omit<claimStore.Claim, "nonce">,
@@ -217,6 +225,7 @@
     const { claims } = this.parameters;
     const written = await claims.write({ key, claim: earlier, base });
     if (written.kind === "store-unavailable") {
+      // The table service did not confirm that it has the earlier claim again.
       const result = outcomeRecorder.mayHaveRun("its claim was lost");
       return { kind: "result", result };
     }
--- a/packages/daemon/src/dispatch/lost_claims.ts
+++ b/packages/daemon/src/dispatch/lost_claims.ts
@@ -6,18 +6,22 @@
 
 /**
  * Time for which this entry retains the claims that it wrote. It covers the
- * greatest age of a copy from which the table is restored, and the outage
- * before that.
+ * greatest age of a copy from which the table is restored, and the table's
+ * outage before the restore.
  */
 const RETENTION_MILLISECONDS = 30_000;
-/** Bounds the memory for retained claims; each may have an answer of 64 KiB. */
+/**
+ * Bounds the memory for retained claims. A claim may contain an answer of 64
+ * KiB; those that `remember` is called with at present contain none yet.
+ */
 const MAX_RETAINED_CLAIMS = 500;
-/** Time within which an upstream process must answer with its claims. */
+/** Time within which an upstream process must report its claims. */
 const ANSWER_TIMEOUT_MILLISECONDS = 1_000;
 /**
- * Time after a restore of the table for which no keyed request runs while an
- * upstream process has not yet reported its claims. After this time, keyed
- * requests run without the missing reports.
+ * Longest wait for missing reports of upstream processes, from this entry's
+ * first `gather` in a new epoch of the table. Until then, an entry that saw the
+ * epoch begin sends no keyed request to a runner while a report is missing.
+ * Afterwards it does without the missing reports.
  */
 const MAX_WAIT_MILLISECONDS = 10_000;
 
@@ -27,19 +31,20 @@
   epoch: backingServices.TableEpoch;
   /** All runners that this entry sends requests to. */
   runners: () => runnerLink.RunnerLink[];
-  /** Whether this entry is the one that writes a lost claim again. */
+  /** Whether it is this entry's duty to write a lost claim to the table. */
   isOwner: (key: string) => boolean;
   /** Host of this entry. */
   host: string;
 }
 
 /**
- * Finds the claims that the table may have lost. A table that is restored from
- * a copy lacks what was written in the last seconds before. If a claim were
- * lost, a caller that repeats its request would find none, and a request that
- * may not be repeated would run twice. The entry that wrote a claim retains it
- * for some seconds, and the upstream process that received the attempt can
- * report it.
+ * Gathers the claims that the table may have lost. A table that is restored
+ * from a copy lacks what was written after the copy was made, which is some
+ * seconds; each restore begins a new epoch of the table. If a claim were lost,
+ * an entry would find none when the caller sends a non-repeatable request
+ * again, and the request could run twice. Two processes know a lost claim: the
+ * entry that wrote it retains it for some seconds, and the upstream process
+ * that received the attempt can report it.
  */
 export class LostClaims {
   /** Claims that this entry wrote, and when, by claim key. */
@@ -47,12 +52,17 @@
     string,
     { claim: claimStore.Claim; at: number }
   >();
-  /** Claims that the table may lack, by claim key. */
+  /**
+   * Claims gathered in the present epoch, by claim key. The table may have lost
+   * them or not.
+   */
   readonly #found = new Map<string, Omit<claimStore.Claim, "nonce">>();
-  /** Epoch of the table for which all lost claims were gathered. */
+  /** Epoch of the table for which gathering is complete. */
   #gatheredEpoch: number | undefined;
   #gathering: Promise<void> | undefined;
-  /** When this entry first saw the table's epoch of this number. */
+  /**
+   * Epoch in which this entry last gathered claims, and when it first did so.
+   */
   #firstGather = { number: -1, at: 0 };
 
   constructor(readonly parameters: LostClaimsParameters) {}
@@ -70,9 +80,11 @@
   }
 
   /**
-   * Gathers all claims that the table may have lost before its present epoch.
-   * Returns false while an upstream process that may know of some has not
-   * answered.
+   * Gathers, once in each epoch of the table, the claims that the table may
+   * have lost in the restore that began the epoch. Returns whether gathering is
+   * complete, so that keyed requests may run. It is not while a report of an
+   * upstream process is missing, unless this entry did not see the epoch begin
+   * or has waited for `MAX_WAIT_MILLISECONDS`.
    */
   async gather(): Promise<boolean> {
     const { number } = this.parameters.epoch;
@@ -84,20 +96,21 @@
     return this.#gatheredEpoch === number;
   }
 
-  /** The claim for a key among those gathered; `undefined` if there is none. */
+  /** The gathered claim for a key; `undefined` if there is none. */
   find(key: string): Omit<claimStore.Claim, "nonce"> | undefined {
     return this.#found.get(key);
   }
 
   /**
-   * Writes the gathered claims that the table lacks and this entry owns.
-   * Returns how many it wrote.
+   * Writes those gathered claims to the table that it has lost and that are
+   * this entry's duty (`isOwner`). Returns how many it wrote.
    */
   async restore(): Promise<number> {
     const { claims, isOwner } = this.parameters;
     let written = 0;
     for (const [key, claim] of this.#found) {
       if (!isOwner(key)) continue;
+      // Without `base`, the write fails if the table has a claim for the key.
       const outcome = await claims.write({ key, claim, base: undefined });
       if (outcome.kind === "written") written++;
     }
@@ -117,7 +130,8 @@
     for (const [key, { claim }] of this.#written) this.#found.set(key, claim);
     const allAnswered = answers.every((answered) => answered);
     const waited = common.now() - this.#firstGather.at;
-    // An entry that started after the restore asks only once.
+    // An entry that did not see the epoch begin asks only once: it cannot tell
+    // how long ago the epoch began, or whether a restore began it.
     const mayProceed = !sawBegin || waited > MAX_WAIT_MILLISECONDS;
     if (allAnswered || mayProceed) this.#gatheredEpoch = number;
   }
--- a/packages/daemon/src/dispatch/outcome_recorder.ts
+++ b/packages/daemon/src/dispatch/outcome_recorder.ts
@@ -38,7 +38,8 @@
         const state = claimStore.ClaimState.Completed;
         // The caller's result does not wait for this write. Until the write is
         // done, a request that the caller sends again collects the answer from
-        // the runner, which may drop the answer only afterwards.
+        // the runner; only afterwards does the entry let the runner drop the
+        // answer.
         this.parameters.lifeCycle.run("settle", async () => {
           const written = await this.changeClaim(key, stored, {
             state,
