--- a/packages/daemon/src/dispatch/body_sender.ts
+++ b/packages/daemon/src/dispatch/body_sender.ts
@@ -1,11 +1,11 @@
 import * as wire from "@geraniumkeel/wire";
 
-/** Most pieces sent at a time, counted from the one last requested. */
+/** Pieces sent at most, counted from the one that was last requested. */
 const MAX_PIECES_AHEAD = 8;
 
 interface Piece {
   bytes: Uint8Array;
-  /** Whether the body goes on after this piece, ends, or breaks off. */
+  /** Whether the body continues after this piece, ends, or breaks off. */
   ends: wire.BodyEnd;
 }
 
@@ -35,9 +35,10 @@
   }
 
   /**
-   * Drops the pieces before `index`, which have all arrived, and sends those
-   * from it on, also those that were sent before: they may have been lost with
-   * a link. The receiver ignores duplicates.
+   * Drops the pieces before `index`, which have all arrived, and sends the
+   * retained pieces from `index` on. It also sends again those that were sent
+   * before, because they may have been lost with a link. The receiver ignores
+   * duplicates.
    */
   sendFrom(index: number): void {
     const arrived = index - this.#firstRetainedIndex;
--- a/packages/daemon/src/dispatch/dispatcher.ts
+++ b/packages/daemon/src/dispatch/dispatcher.ts
@@ -19,7 +19,7 @@
     service: string,
   ) => serviceQueue.ServiceQueue<runnerObtainer.ReservedRunner>;
   budgetOf: (service: string) => retryBudget.RetryBudget;
-  /** Runs the requests that have an idempotency key and may not be repeated. */
+  /** Runs the non-repeatable requests that have an idempotency key. */
   keyed: keyedRequests.KeyedRequests;
   quarantine: quarantine.Quarantine;
   logger: common.Logger;
@@ -68,8 +68,9 @@
   }
 
   /**
-   * Waits in the queue for a runner with free capacity that is not excluded. A
-   * request that `wasAdmitted` before enters even a full queue.
+   * Waits in the service's queue for a runner with free capacity that is not in
+   * `excluded`. `wasAdmitted` says that the queue admitted the request before,
+   * for an earlier attempt; such a request enters even a full queue.
    */
   async obtainRunner(
     accepted: request.AcceptedRequest,
@@ -152,9 +153,10 @@
   }
 
   /**
-   * Decides whether a request gets another attempt after one that never started
-   * or may be repeated, and charges the retry budget for it. `failures` counts
-   * the failed attempts so far, this one included.
+   * Decides whether a request gets another attempt, after one that never
+   * started or whose request is repeatable, and charges the service's retry
+   * budget for it if `cause` is `Failed`. `failures` is the number of failed
+   * attempts so far, the last one included.
    */
   permitRetry(
     accepted: request.AcceptedRequest,
@@ -226,7 +228,7 @@
         case request.AttemptOutcomeKind.Quarantined:
           return unfinishedResult(sink, "put in quarantine");
         case request.AttemptOutcomeKind.NeverStarted:
-          // The request goes back to the queue, at most until its deadline.
+          // The request returns to the queue, at most until its deadline.
           if (outcome.cause === request.NotStartedCause.Full) continue;
           if (this.permitRetry(accepted, ++failures, outcome.cause)) break;
           return withEarlierAttempts(
@@ -258,7 +260,8 @@
     number: number,
     sink: answerSink.AnswerSink,
   ): Promise<request.AttemptOutcome> {
-    // From here on the dispatch itself counts. No other code runs in between.
+    // The dispatch below counts towards the runner's load itself. No other code
+    // runs in between, so that no other request chooses this capacity.
     reservation.release();
     const identifier = `${accepted.identifier}/${number}`;
     const attempt = runner.newAttempt(identifier);
--- a/packages/daemon/src/dispatch/follow_attempt.ts
+++ b/packages/daemon/src/dispatch/follow_attempt.ts
@@ -22,10 +22,11 @@
 /**
  * Follows one attempt to its outcome and passes its answer on to the caller.
  * The loss of a link is no outcome: the attempt may still be running, and
- * resumes on the next link. Whether it ran is known for certain (the attempt is
- * settled) only from a message of the runner. The entry may also stop following
- * before that: at the deadline, when the caller disconnects, when the request is
- * quarantined, or when it gives the runner up (`Unsettled`).
+ * resumes on the next link. Whether an attempt that was sent ran is known for
+ * certain (the attempt is settled) only from a message of the runner. The entry
+ * may also stop following before that: at the deadline, when the caller
+ * disconnects, when the request is quarantined, or when it gives the attempt up
+ * because the runner is unreachable or was replaced (`Unsettled`).
  */
 export async function followAttempt(
   parameters: FollowedAttempt,
@@ -105,8 +106,8 @@
 }
 
 /**
- * Whether an attempt with this outcome needs no cancellation, and the runner may
- * drop its answer. `Broken` counts as stopped even if this entry broke the
+ * Whether an attempt with this outcome needs no cancellation, and the runner
+ * may drop its answer. `Broken` counts as stopped even if this entry broke the
  * answer off itself because pieces were missing.
  */
 function hasWorkStopped(outcome: request.AttemptOutcome): boolean {
@@ -178,8 +179,8 @@
         break;
     }
   }
-  // Reached only if `events` is closed, which nothing does today: when the entry
-  // stops, the runner's link sends `Unreachable`.
+  // Reached only if `events` is closed, which no code does at present: when the
+  // entry stops, the runner's link sends `Unreachable`.
   return unsettled("entry stopping");
 }
 
@@ -230,7 +231,8 @@
 /**
  * Outcome of an attempt of which the upstream process has no record: it reports
  * a state, and neither pieces nor an end. It does so only when the entry
- * resumes such an attempt, so `Running` and `Finished` do not occur here.
+ * resumes such an attempt, so `Running` and `Finished` do not occur here. An
+ * attempt that could not be sent comes here as `NeverStarted` as well.
  */
 function outcomeOfState(state: wire.AttemptState): request.AttemptOutcome {
   const { AttemptOutcomeKind } = request;
--- a/packages/daemon/src/dispatch/outgoing_attempt.ts
+++ b/packages/daemon/src/dispatch/outgoing_attempt.ts
@@ -2,19 +2,29 @@
 import type * as bodySender from "./body_sender.ts";
 import * as wire from "@geraniumkeel/wire";
 
-/** Kinds of events that affect an attempt. */
+/**
+ * Kinds of events that affect an attempt. The values do not leave this process;
+ * `lost` and `held` differ from the names of their members.
+ */
 export enum AttemptEventKind {
   Refused = "refused",
   Head = "head",
   Pieces = "pieces",
   End = "end",
-  /** The upstream process reported what it knows of the attempt. */
+  /**
+   * The upstream process has no record of the attempt and reported its state,
+   * or the attempt could not be sent.
+   */
   StateReported = "settled",
   /**
    * The upstream process was replaced; the new one does not know the attempt.
    */
   UpstreamReplaced = "lost",
-  /** There was no link to the runner for so long that the entry gives up. */
+  /**
+   * The entry gives up the attempt: there was no link to the runner for the
+   * time `settleAfter`, the directory removed the runner, or the entry is
+   * stopping.
+   */
   Unreachable = "unreachable",
   Deadline = "deadline",
   CallerGone = "caller-gone",
@@ -38,7 +48,7 @@
 /**
  * An attempt on the side of the entry that sent it or collects its answer. It
  * turns the runner's messages into events, each part of the answer once and in
- * order, even if a new link repeats some.
+ * order, even if the runner repeats some on a new link.
  */
 export class OutgoingAttempt {
   readonly events = new common.Channel<AttemptEvent>();
@@ -62,9 +72,9 @@
   }
 
   /**
-   * Accepts pieces from an offset on. After a resume the runner may repeat
-   * some; those are dropped. Missing pieces cannot be recovered here, so they
-   * break the answer off.
+   * Accepts pieces from an offset on. After a resume the runner may repeat some
+   * pieces; those are dropped. Missing pieces break the answer off: the entry
+   * asks for pieces only when it resumes an attempt, and not within a link.
    */
   receivePieces(offset: number, pieces: wire.AnswerPiece[]): void {
     if (offset > this.nextOffset) return this.#breakOff("pieces missing");
@@ -75,7 +85,8 @@
   }
 
   /**
-   * Accepts the end of the answer; one before all pieces breaks the answer off.
+   * Accepts the end of the answer. If the runner reports the answer complete
+   * but pieces are missing, the answer breaks off. Other ends need no pieces.
    */
   receiveEnd(offset: number, end: wire.AttemptEnd): void {
     const complete = end.kind === wire.EndKind.Complete;
@@ -85,6 +96,7 @@
     this.events.push({ kind: AttemptEventKind.End, end });
   }
 
+  /** Ends the answer as broken off, without a message of the runner. */
   #breakOff(reason: string): void {
     const { Broken } = wire.EndKind;
     const end: wire.AttemptEnd = { kind: Broken, reason, endedLife: "" };
--- a/packages/daemon/src/dispatch/pending_dispatches.ts
+++ b/packages/daemon/src/dispatch/pending_dispatches.ts
@@ -2,7 +2,10 @@
  * Capacity reserved at a runner for a request that is about to be dispatched.
  */
 export interface Reservation {
-  /** Frees the capacity. After the dispatch, the dispatch itself counts. */
+  /**
+   * Frees the capacity. A dispatch counts towards the load itself, so the
+   * reservation is released when the request is dispatched.
+   */
   release(): void;
 }
 
@@ -50,7 +53,8 @@
   }
 
   /**
-   * Drops the first `count` dispatches over this link: a report includes them.
+   * Drops the first `count` dispatches over this link, because a load report
+   * includes them.
    */
   removeReported(count: number): void {
     this.#pending = this.#pending.filter(({ number }) => number > count);
--- a/packages/daemon/src/dispatch/request.ts
+++ b/packages/daemon/src/dispatch/request.ts
@@ -11,8 +11,12 @@
   weight: number;
   service: string;
   work: wire.Work;
+  /** Whether entries may run the request more than once. */
   repeatable: boolean;
-  /** Key under which the caller may repeat a non-repeatable request. */
+  /**
+   * Key with which the caller may send a non-repeatable request again;
+   * `undefined` without one.
+   */
   idempotencyKey: string | undefined;
   /** Deadline by this process's monotonic clock, in milliseconds. */
   deadline: number;
@@ -90,9 +94,15 @@
   Complete = "complete",
   /** The attempt never started and never will. */
   NeverStarted = "never-started",
-  /** The attempt started and broke off. */
+  /**
+   * The attempt's answer broke off, or the attempt was cancelled. The attempt
+   * may have run.
+   */
   Broken = "broken",
-  /** It is not known whether the attempt ran. */
+  /**
+   * The entry gave the attempt up without knowing whether it ran. It may still
+   * be running, and its runner may still report the outcome.
+   */
   Unsettled = "unsettled",
   /** The request's deadline passed while the attempt ran. */
   Deadline = "deadline",
@@ -114,7 +124,9 @@
       kind: AttemptOutcomeKind.Broken | AttemptOutcomeKind.Unsettled;
       reason: string;
       /**
-       * Incarnation of the runner that crashed during it; empty if none did.
+       * Incarnation that crashed during the attempt: of the engine or service
+       * if the upstream process reported the crash, of the upstream process if
+       * that was replaced. Empty if neither is known to have crashed.
        */
       endedLife: string;
     }
@@ -122,13 +134,16 @@
   | { kind: AttemptOutcomeKind.CallerGone }
   | { kind: AttemptOutcomeKind.Quarantined };
 
-/** Why an attempt never started. */
+/** Why an attempt never started. "Charged" means to the retry budget. */
 export enum NotStartedCause {
   /** Its runner or engine failed. Another attempt is charged as a retry. */
   Failed = "failed",
   /** Its runner is leaving, as planned. Another attempt is not charged. */
   Leaving = "leaving",
-  /** Its runner has as many attempts as it may. The request waits further. */
+  /**
+   * Its runner has as many attempts as it may have. The request returns to the
+   * queue.
+   */
   Full = "full",
 }
 
--- a/packages/daemon/src/dispatch/subscription.ts
+++ b/packages/daemon/src/dispatch/subscription.ts
@@ -2,12 +2,13 @@
 import type * as backingServices from "@geraniumkeel/backing_services";
 
 /**
- * Runners of each service that an entry links to at least, if there are as
- * many.
+ * Minimum number of runners of each service that an entry links to. It links to
+ * all runners of a service that has fewer, and to more than this number if the
+ * last group exceeds it.
  */
 export const MIN_SUBSCRIBED_RUNNERS = 128;
 
-/** The host of an entry, with its data centre and region. */
+/** The host of an entry, with its data centre (`place`) and region. */
 export interface Position {
   host: string;
   place: string;
@@ -16,12 +17,12 @@
 
 /**
  * Chooses the runners that an entry links to and returns them by host name. For
- * each service it adds complete groups until it has enough runners, because
- * routing places a request by the iteration times of all ranks of a group. It
- * prefers near groups, and orders equally near ones by rendezvous hashing, so
- * that entries spread evenly over groups and a change of hosts moves few links.
- * The number of links therefore grows with the size of the subset and not with
- * entries × runners.
+ * each service it adds complete groups until it has `MIN_SUBSCRIBED_RUNNERS`;
+ * groups are complete because routing places a request by the iteration times
+ * of all ranks of a group. It prefers near groups, and orders equally near ones
+ * by rendezvous hashing, so that entries spread evenly over groups and a change
+ * of hosts moves few links. As an entry links to a subset only, the number of
+ * links grows with the size of the subset and not with entries × runners.
  */
 export function chooseRunners(parameters: {
   self: Position;
@@ -47,7 +48,7 @@
 
 /**
  * Groups of hosts in the order in which an entry prefers them. A host without a
- * group forms one of its own.
+ * group counts as a group of one.
  */
 function groupsInOrder(
   self: Position,
