--- a/packages/daemon/src/dispatch/follow_attempt.ts
+++ b/packages/daemon/src/dispatch/follow_attempt.ts
@@ -22,9 +22,9 @@
 /**
  * Follows one attempt to its outcome and passes its answer on to the caller.
  * The loss of a link is no outcome: the attempt may still be running, and
- * resumes on the next link. Whether an attempt that was sent ran is known for
- * certain (the attempt is settled) only from a message of the runner. The entry
- * may also stop following before that: at the deadline, when the caller
+ * resumes on the next link. Once an attempt was sent, only a message of its
+ * runner settles it, that is, shows for certain whether it ran. The entry may
+ * also stop following before that: at the deadline, when the caller
  * disconnects, when the request is quarantined, or when it gives the attempt up
  * because the runner is unreachable or was replaced (`Unsettled`).
  */
