--- a/packages/daemon/src/dispatch/claim_takeover.ts
+++ b/packages/daemon/src/dispatch/claim_resolver.ts
@@ -9,7 +9,7 @@
 import * as request from "./request.ts";
 import type * as runnerDirectory from "./runner_directory.ts";
 
-/** What an entry does about a claim that another request wrote before. */
+/** Result of resolving a claim that was already in the table. */
 export type ClaimResolution =
   /** The request has its final result. */
   | { kind: "result"; result: request.RequestResult }
@@ -21,21 +21,28 @@
 
 /**
  * Resolves a claim that is in the table already when a request arrives with the
- * same idempotency key: replays the stored answer, collects the answer of the
- * running attempt, or takes the claim over if the attempt never ran.
+ * same idempotency key. Depending on the state of the claimed attempt, it
+ * replays the stored answer, collects the answer from the runner, returns
+ * `MayHaveRun`, or lets the entry write its own claim because the attempt never
+ * ran. In the reason texts, which callers receive, "its" refers to the claimed
+ * attempt.
  */
-export class ClaimTakeover {
+export class ClaimResolver {
   constructor(
     readonly parameters: {
       recorder: outcomeRecorder.OutcomeRecorder;
       runners: runnerDirectory.RunnerDirectory;
       logger: common.Logger;
-      settleAfterMilliseconds: number;
+      /** Longest wait for a runner's answer to `RunnerLink.settle`. */
+      settleTimeoutMilliseconds: number;
       quarantine: quarantine.Quarantine;
     },
   ) {}
 
-  /** Learns the outcome of the attempt that an existing claim names. */
+  /**
+   * Resolves an existing claim. `digest` is the digest of the present request;
+   * a claim with another one belongs to a different request.
+   */
   async resolve(
     accepted: request.AcceptedRequest,
     sink: answerSink.AnswerSink,
@@ -48,19 +55,19 @@
       return resolvedWith({ kind: request.ResultKind.KeyReused });
     }
     switch (claim.state) {
-      case claimStore.ClaimState.Settled:
+      case claimStore.ClaimState.Completed:
         return resolvedWith(await replay(claim, sink));
-      case claimStore.ClaimState.Unsettled:
-        return resolvedWith(
-          outcomeRecorder.mayHaveRun(
-            "the outcome of the earlier attempt is lost",
-          ),
-        );
+      case claimStore.ClaimState.MayHaveRun:
+        return resolvedWith(outcomeRecorder.mayHaveRun("its outcome was lost"));
       case claimStore.ClaimState.Claimed:
         return this.#settleAttempt(accepted, sink, key, stored);
     }
   }
 
+  /**
+   * Settles a claimed attempt at its runner, and collects its answer if it is
+   * running or finished there.
+   */
   async #settleAttempt(
     accepted: request.AcceptedRequest,
     sink: answerSink.AnswerSink,
@@ -69,26 +76,25 @@
   ): Promise<ClaimResolution> {
     const { claim } = stored;
     const { attempt } = claim;
-    const { settleAfterMilliseconds, logger } = this.parameters;
+    const { settleTimeoutMilliseconds, logger } = this.parameters;
     const runner = this.parameters.runners.get(claim.runner);
     if (!runner?.hello || !runner.linked) {
       return resolvedWith(
-        outcomeRecorder.mayHaveRun(
-          "the runner of the earlier attempt is not linked",
-        ),
+        outcomeRecorder.mayHaveRun("its runner cannot be asked now"),
       );
     }
+    // Another incarnation of the upstream process does not know the attempt.
     if (runner.hello.incarnation !== attempt.agentIncarnation) {
       await this.parameters.recorder.changeClaim(key, stored, {
-        state: claimStore.ClaimState.Unsettled,
+        state: claimStore.ClaimState.MayHaveRun,
       });
       return resolvedWith(
-        outcomeRecorder.mayHaveRun(
-          "the runner of the earlier attempt was replaced",
-        ),
+        outcomeRecorder.mayHaveRun("its runner was replaced"),
       );
     }
-    const state = await runner.settle(attempt, settleAfterMilliseconds);
+    const state = await runner.settle(attempt, settleTimeoutMilliseconds);
+    // Logged for every state, not only if the claim is taken over. `state` is
+    // `undefined` if the runner did not answer.
     logger.event(common.EventCode.ClaimTakenOver, {
       identifier: attempt.identifier,
       from: claim.entry,
@@ -125,26 +131,24 @@
       }
       case wire.AttemptState.Forgotten:
         await this.parameters.recorder.changeClaim(key, stored, {
-          state: claimStore.ClaimState.Unsettled,
+          state: claimStore.ClaimState.MayHaveRun,
         });
         return resolvedWith(
-          outcomeRecorder.mayHaveRun(
-            "the runner of the earlier attempt forgot its outcome",
-          ),
+          outcomeRecorder.mayHaveRun("its outcome was forgotten"),
         );
       case undefined:
         return resolvedWith(
-          outcomeRecorder.mayHaveRun(
-            "the runner of the earlier attempt did not answer",
-          ),
+          outcomeRecorder.mayHaveRun("its runner did not answer"),
         );
     }
   }
 }
 
 /**
- * Sends the stored answer of a settled claim to the caller; `RanBefore` if none
- * is stored.
+ * Sends the stored answer of a completed claim to the caller. If no answer is
+ * stored, sends nothing and returns `RanBefore`. A claim stores neither the
+ * finish reason nor the number of prompt tokens, so a replayed answer always
+ * has `Stop` and 0.
  */
 async function replay(
   claim: claimStore.Claim,
--- a/packages/daemon/src/dispatch/open_questions.ts
+++ b/packages/daemon/src/dispatch/open_questions.ts
@@ -3,18 +3,19 @@
 
 /**
  * Messages sent over a link that expect an answer. Each such question has a
- * number, and the answer repeats that number.
+ * number, from 1, and the answer repeats that number.
  */
 export class OpenQuestions {
   /**
-   * Resolves the promise of each question that has no answer yet, by number.
+   * Functions that resolve the promises of the questions without an answer, by
+   * question number.
    */
-  readonly #open = new Map<number, (answer: wire.Message) => void>();
+  readonly #resolvers = new Map<number, (answer: wire.Message) => void>();
   #lastNumber = 0;
 
   /** Number of questions that have no answer yet. */
   get count(): number {
-    return this.#open.size;
+    return this.#resolvers.size;
   }
 
   /**
@@ -29,16 +30,16 @@
     const { send, build, timeoutMilliseconds } = parameters;
     const question = ++this.#lastNumber;
     const answer = new Promise<wire.Message>((resolve) =>
-      this.#open.set(question, resolve),
+      this.#resolvers.set(question, resolve),
     );
     send(build(question));
     const answered = await common.withTimeout(answer, timeoutMilliseconds);
-    this.#open.delete(question);
+    this.#resolvers.delete(question);
     return answered;
   }
 
-  /** Accepts the answer to a question; ignores it if it arrives too late. */
+  /** Accepts an answer; ignores one that arrives after the timeout. */
   answer(question: number, message: wire.Message): void {
-    this.#open.get(question)?.(message);
+    this.#resolvers.get(question)?.(message);
   }
 }
--- a/packages/daemon/src/dispatch/outcome_recorder.ts
+++ b/packages/daemon/src/dispatch/outcome_recorder.ts
@@ -6,9 +6,9 @@
 import type * as runnerLink from "./runner_link.ts";
 
 /**
- * Records the outcomes of attempts in their claims, so that a repeated request
- * with the same idempotency key can be answered, and turns each outcome into
- * the result for the caller.
+ * Records the outcomes of attempts in their claims, so that entries can answer
+ * a request that the caller sends again with the same idempotency key, and
+ * turns each outcome into the result for the caller.
  */
 export class OutcomeRecorder {
   constructor(
@@ -19,8 +19,9 @@
   ) {}
 
   /**
-   * Returns the caller's result at once and writes a final outcome to the claim
-   * in the background.
+   * Returns the caller's result at once. If the attempt completed or broke off,
+   * writes that to the claim in the background; after any other outcome the
+   * claim stays in the state `Claimed`.
    */
   recordOutcome(parameters: {
     key: string;
@@ -34,9 +35,11 @@
     switch (outcome.kind) {
       case request.AttemptOutcomeKind.Complete: {
         const answer = recording.answer;
-        const state = claimStore.ClaimState.Settled;
-        // The caller's answer does not wait for this write: until it is done, a
-        // repeated request collects the answer from the runner.
+        const state = claimStore.ClaimState.Completed;
+        // The caller's result does not wait for this write. Until the write is
+        // done, a request that the caller sends again collects the answer from
+        // the runner; only afterwards does the entry let the runner drop the
+        // answer.
         this.parameters.lifeCycle.run("settle", async () => {
           const written = await this.changeClaim(key, stored, {
             state,
@@ -50,20 +53,19 @@
         return { kind, finishReason, promptTokens, runner: name };
       }
       case request.AttemptOutcomeKind.Broken: {
-        const state = claimStore.ClaimState.Unsettled;
+        const state = claimStore.ClaimState.MayHaveRun;
         this.parameters.lifeCycle.run("settle", async () => {
           await this.changeClaim(key, stored, { state });
         });
         return unfinishedResult(recording, outcome.reason);
       }
       case request.AttemptOutcomeKind.Unsettled:
-        // The claim stays in the state `Claimed`: once the runner is reachable
-        // again, it can still report the outcome.
+        // Once the runner is reachable again, it can still report the outcome.
         return unfinishedResult(recording, outcome.reason);
       case request.AttemptOutcomeKind.Deadline:
-        return unfinishedResult(recording, "the deadline passed");
+        return unfinishedResult(recording, "deadline passed");
       case request.AttemptOutcomeKind.Quarantined:
-        return unfinishedResult(recording, "the request was put in quarantine");
+        return unfinishedResult(recording, "put in quarantine");
       case request.AttemptOutcomeKind.CallerGone:
       case request.AttemptOutcomeKind.NeverStarted:
         return { kind: request.ResultKind.CallerGone };
@@ -71,8 +73,9 @@
   }
 
   /**
-   * Changes a claim. Returns false if another entry has changed it since it was
-   * read or written here, or if the table service does not answer.
+   * Changes a claim in the table. Returns false if the row has changed since
+   * this entry read or wrote it, or if the table service does not confirm the
+   * write.
    */
   async changeClaim(
     key: string,
