--- a/packages/daemon/src/forwarding/answer_relay.ts
+++ b/packages/daemon/src/forwarding/answer_relay.ts
@@ -2,7 +2,7 @@
 import * as traffic from "@geraniumkeel/traffic";
 import * as eventSplitter from "./event_splitter.ts";
 import type * as callerRequest from "./caller_request.ts";
-import * as runnerCaller from "./runner_caller.ts";
+import * as runnerClient from "./runner_client.ts";
 
 /** Reads a body to its end; the error says why the body was truncated. */
 export async function readCompleteBody(
@@ -12,7 +12,7 @@
   try {
     for await (const piece of body) pieces.push(piece);
   } catch (cause) {
-    if (cause instanceof runnerCaller.TruncatedBody) {
+    if (cause instanceof runnerClient.TruncatedBody) {
       return neverthrow.err(cause.message);
     }
     throw cause;
@@ -59,7 +59,7 @@
 
   /** Relays an answer to its end; the error says why it stopped before. */
   relay(
-    answer: runnerCaller.RunnerAnswer,
+    answer: runnerClient.RunnerAnswer,
   ): Promise<neverthrow.Result<void, string>> {
     switch (this.parameters.answerForm) {
       case traffic.AnswerForm.Whole:
@@ -70,7 +70,7 @@
   }
 
   async #relayComplete(
-    answer: runnerCaller.RunnerAnswer,
+    answer: runnerClient.RunnerAnswer,
   ): Promise<neverthrow.Result<void, string>> {
     const completeBody = await readCompleteBody(answer.body);
     return completeBody.map((body) => {
@@ -79,7 +79,7 @@
   }
 
   async #relayEvents(
-    answer: runnerCaller.RunnerAnswer,
+    answer: runnerClient.RunnerAnswer,
   ): Promise<neverthrow.Result<void, string>> {
     const { sink } = this.parameters;
     const splitter = new eventSplitter.EventSplitter();
@@ -91,7 +91,7 @@
         }
       }
     } catch (cause) {
-      if (cause instanceof runnerCaller.TruncatedBody) {
+      if (cause instanceof runnerClient.TruncatedBody) {
         return neverthrow.err(cause.message);
       }
       throw cause;
--- a/packages/daemon/src/forwarding/departed_incarnations.ts
+++ b/packages/daemon/src/forwarding/departed_incarnations.ts
@@ -10,29 +10,30 @@
  * new requests shortly before it stops.
  */
 export class DepartedIncarnations {
-  readonly #lastListedAt = new Map<string, number>();
+  readonly #lastListedLeavingAt = new Map<string, number>();
 
   /**
    * Returns the runners of a list, each marked as leaving if its incarnation
    * was ever listed as leaving.
    */
-  apply(runners: readonly traffic.RunnerEntry[]): traffic.RunnerEntry[] {
+  markLeaving(runners: readonly traffic.RunnerEntry[]): traffic.RunnerEntry[] {
     const now = common.now();
-    const applied = runners.map((runner) => this.#applyTo(runner, now));
-    for (const [incarnation, lastListedAt] of this.#lastListedAt) {
-      if (now - lastListedAt > RETENTION_MILLISECONDS)
-        this.#lastListedAt.delete(incarnation);
+    const marked = runners.map((runner) => this.#markRunner(runner, now));
+    for (const [incarnation, lastListedLeavingAt] of this
+      .#lastListedLeavingAt) {
+      if (now - lastListedLeavingAt > RETENTION_MILLISECONDS)
+        this.#lastListedLeavingAt.delete(incarnation);
     }
-    return applied;
+    return marked;
   }
 
-  #applyTo(runner: traffic.RunnerEntry, now: number): traffic.RunnerEntry {
+  #markRunner(runner: traffic.RunnerEntry, now: number): traffic.RunnerEntry {
     const incarnation = traffic.incarnationOf(runner);
     if (runner.leaving) {
-      this.#lastListedAt.set(incarnation, now);
+      this.#lastListedLeavingAt.set(incarnation, now);
       return runner;
     }
-    if (!this.#lastListedAt.has(incarnation)) return runner;
+    if (!this.#lastListedLeavingAt.has(incarnation)) return runner;
     return { ...runner, leaving: true };
   }
 }
--- a/packages/daemon/src/forwarding/forwarded_request.ts
+++ b/packages/daemon/src/forwarding/forwarded_request.ts
@@ -12,7 +12,7 @@
 import type * as runnerTracker from "./runner_tracker.ts";
 import * as requestClock from "./request_clock.ts";
 import * as runnerAttempt from "./runner_attempt.ts";
-import type * as runnerCaller from "./runner_caller.ts";
+import type * as runnerClientModule from "./runner_client.ts";
 
 /**
  * Maximum time that a request waits while the runners of its service refuse
@@ -38,10 +38,10 @@
   spentBefore: number;
   service: string;
   tracker: runnerTracker.RunnerTracker;
-  caller: runnerCaller.RunnerCaller;
+  runnerClient: runnerClientModule.RunnerClient;
   budgetOf: (service: string) => retryBudget.RetryBudget;
   quarantine: quarantine.Quarantine;
-  endWatch: crashDetector.CrashDetector;
+  crashDetector: crashDetector.CrashDetector;
   onAnswerStart: (runner: traffic.RunnerEntry) => void;
   random: common.Random;
   metrics: common.Metrics;
@@ -156,8 +156,9 @@
     const { metrics, service } = this.parameters;
     const outcome = finalOutcome.kind;
     metrics.count(common.Metric.Requests, { service, outcome });
-    const repeats = this.#attempts.length - 1;
-    if (repeats > 0) metrics.count(common.Metric.Retries, { service }, repeats);
+    const furtherAttempts = this.#attempts.length - 1;
+    if (furtherAttempts > 0)
+      metrics.count(common.Metric.Retries, { service }, furtherAttempts);
     if (this.#firstAnswerMilliseconds >= 0) {
       metrics.time(common.Metric.FirstToken, this.#firstAnswerMilliseconds, {
         service,
@@ -199,10 +200,10 @@
     outcome: attemptOutcome.AttemptOutcome,
     runner: traffic.RunnerEntry,
   ): Promise<void> {
-    const { request, endWatch, tracker } = this.parameters;
+    const { request, crashDetector, tracker } = this.parameters;
     const runnerIsUnresponsive = tracker.isUnresponsive(runner.identifier);
     if (!attemptOutcome.mayBeCrash(outcome.kind, runnerIsUnresponsive)) return;
-    await endWatch.investigate(runner, {
+    await crashDetector.investigate(runner, {
       request: request.identifier,
       fingerprint: this.fingerprint,
       startedAt: this.#attempt?.startedAt ?? common.now(),
--- a/packages/daemon/src/forwarding/forwarder.ts
+++ b/packages/daemon/src/forwarding/forwarder.ts
@@ -8,7 +8,7 @@
 import * as forwardedRequest from "./forwarded_request.ts";
 import * as timeoutHistory from "./timeout_history.ts";
 import type * as runnerTracker from "./runner_tracker.ts";
-import type * as runnerCaller from "./runner_caller.ts";
+import type * as runnerClientModule from "./runner_client.ts";
 
 /** What a forwarder needs. */
 export interface ForwarderParameters {
@@ -22,10 +22,10 @@
    */
   maxProofAgeMilliseconds: number;
   tracker: runnerTracker.RunnerTracker;
-  caller: runnerCaller.RunnerCaller;
+  runnerClient: runnerClientModule.RunnerClient;
   budgetOf: (service: string) => retryBudget.RetryBudget;
   quarantine: quarantine.Quarantine;
-  endWatch: crashDetector.CrashDetector;
+  crashDetector: crashDetector.CrashDetector;
   /** Called when a runner begins an answer. */
   onAnswerStart: (runner: traffic.RunnerEntry) => void;
   random: common.Random;
--- a/packages/daemon/src/forwarding/forwarder_test.ts
+++ b/packages/daemon/src/forwarding/forwarder_test.ts
@@ -9,7 +9,7 @@
 import * as callerRequest from "./caller_request.ts";
 import * as forwarderModule from "./forwarder.ts";
 import * as runnerTracker from "./runner_tracker.ts";
-import * as runnerCaller from "./runner_caller.ts";
+import * as runnerClientModule from "./runner_client.ts";
 
 const test = ava.default;
 
@@ -17,9 +17,12 @@
 
 /** Simulates one call to a runner. */
 type Script = (
-  call: runnerCaller.RunnerCall,
+  call: runnerClientModule.RunnerCall,
 ) => Promise<
-  neverthrow.Result<runnerCaller.RunnerAnswer, runnerCaller.CallFailure>
+  neverthrow.Result<
+    runnerClientModule.RunnerAnswer,
+    runnerClientModule.CallFailure
+  >
 >;
 
 /** What the caller of a request received. */
@@ -96,8 +99,8 @@
 async function send(
   setup: Setup,
   scripts: Script[],
-): Promise<{ seen: CallerView; calls: runnerCaller.RunnerCall[] }> {
-  const calls: runnerCaller.RunnerCall[] = [];
+): Promise<{ seen: CallerView; calls: runnerClientModule.RunnerCall[] }> {
+  const calls: runnerClientModule.RunnerCall[] = [];
   const tracker = trackerOfTwo();
   const presenceOf = async () => common.Presence.Listening;
   const logger = new common.RecordingLogger();
@@ -107,7 +110,7 @@
     proofAge: () => configuration.age,
     maxProofAgeMilliseconds: 4_000,
     tracker,
-    caller: {
+    runnerClient: {
       presenceOf,
       call: (call) => {
         calls.push(call);
@@ -116,7 +119,7 @@
     },
     budgetOf: () => budget,
     quarantine: quarantineFixture.createQuarantine(),
-    endWatch: new crashDetector.CrashDetector({
+    crashDetector: new crashDetector.CrashDetector({
       presenceOf,
       inUse: (runner) => tracker.inUse(runner),
       crashTimeOf: () => undefined,
@@ -185,15 +188,15 @@
 ): Script {
   async function* body(): AsyncGenerator<Buffer, void, void> {
     for (const piece of pieces) yield Buffer.from(piece);
-    if (options.truncated) throw new runnerCaller.TruncatedBody("reset");
+    if (options.truncated) throw new runnerClientModule.TruncatedBody("reset");
   }
   const status = options.status ?? 200;
   const verdict =
     status === 200
-      ? runnerCaller.Verdict.Ran
+      ? runnerClientModule.Verdict.Ran
       : status === 503
-        ? runnerCaller.Verdict.NotRun
-        : runnerCaller.Verdict.Failed;
+        ? runnerClientModule.Verdict.NotRun
+        : runnerClientModule.Verdict.Failed;
   return async () =>
     neverthrow.ok({
       verdict,
@@ -203,7 +206,7 @@
     });
 }
 
-function failsWith(kind: runnerCaller.CallFailureKind): Script {
+function failsWith(kind: runnerClientModule.CallFailureKind): Script {
   return async () => neverthrow.err({ kind, reason: "reset" });
 }
 
@@ -212,7 +215,7 @@
   return (call) =>
     new Promise((resolve) => {
       call.signal.addEventListener("abort", () => {
-        const kind = runnerCaller.CallFailureKind.Unknown;
+        const kind = runnerClientModule.CallFailureKind.Unknown;
         resolve(neverthrow.err({ kind, reason: "aborted" }));
       });
     });
@@ -233,7 +236,7 @@
 // gets the request, and the caller learns that it may have run.
 test("an at-most-once request that may have run is not retried", async (t) => {
   const { seen, calls } = await send(ONCE, [
-    failsWith(runnerCaller.CallFailureKind.Unknown),
+    failsWith(runnerClientModule.CallFailureKind.Unknown),
   ]);
   t.is(calls.length, 1);
   t.is(seen.refusal?.kind, callerRequest.RefusalKind.MayHaveRun);
@@ -242,7 +245,7 @@
 test("a request that certainly did not run goes to another runner", async (t) => {
   for (const first of [
     answers([], { status: 503 }),
-    failsWith(runnerCaller.CallFailureKind.NotSent),
+    failsWith(runnerClientModule.CallFailureKind.NotSent),
   ]) {
     const { seen, calls } = await send(ONCE, [first, answers(["done"])]);
     t.not(calls[0].runner.identifier, calls[1].runner.identifier);
@@ -258,7 +261,7 @@
   t.is(both.seen.refusal?.kind, callerRequest.RefusalKind.NotRun);
   t.true((both.seen.refusal?.retryAfterMilliseconds ?? 0) > 0);
   const doubt = await send({}, [
-    failsWith(runnerCaller.CallFailureKind.Unknown),
+    failsWith(runnerClientModule.CallFailureKind.Unknown),
     ...Array<Script>(50).fill(refused),
   ]);
   t.is(doubt.seen.refusal?.kind, callerRequest.RefusalKind.MayHaveRun);
--- a/packages/daemon/src/forwarding/outstanding_elsewhere.ts
+++ b/packages/daemon/src/forwarding/outstanding_from_others.ts
@@ -4,8 +4,8 @@
  * runner would take most of that choice's time: there may be a hundred entries
  * and two hundred runners.
  */
-export class OutstandingElsewhere {
-  readonly #byHost = new Map<string, ReadonlyMap<string, number>>();
+export class OutstandingFromOthers {
+  readonly #countsByEntry = new Map<string, ReadonlyMap<string, number>>();
   readonly #sums = new Map<string, number>();
 
   /**
@@ -13,15 +13,15 @@
    * disconnected.
    */
   setCountsOf(
-    host: string,
+    entry: string,
     counts: ReadonlyMap<string, number> | undefined,
   ): void {
-    for (const [runner, count] of this.#byHost.get(host) ?? []) {
+    for (const [runner, count] of this.#countsByEntry.get(entry) ?? []) {
       this.#add(runner, -count);
     }
-    this.#byHost.delete(host);
+    this.#countsByEntry.delete(entry);
     if (!counts) return;
-    this.#byHost.set(host, counts);
+    this.#countsByEntry.set(entry, counts);
     for (const [runner, count] of counts) this.#add(runner, count);
   }
 
--- a/packages/daemon/src/forwarding/outstanding_elsewhere_test.ts
+++ b/packages/daemon/src/forwarding/outstanding_from_others_test.ts
@@ -1,6 +1,6 @@
 import * as ava from "ava";
 import * as common from "@geraniumkeel/common";
-import * as outstandingElsewhere from "./outstanding_elsewhere.ts";
+import * as outstandingFromOthers from "./outstanding_from_others.ts";
 
 const test = ava.default;
 
@@ -9,7 +9,7 @@
 // empty, for ever.
 test("the sums match the counts that all entries reported last", (t) => {
   const random = new common.Random(7);
-  const elsewhere = new outstandingElsewhere.OutstandingElsewhere();
+  const fromOthers = new outstandingFromOthers.OutstandingFromOthers();
   const reported = new Map<string, Map<string, number>>();
   for (let round = 0; round < 500; round++) {
     const host = `entry-${random.below(20)}`;
@@ -20,7 +20,7 @@
         1 + random.below(3),
       ]),
     );
-    elsewhere.setCountsOf(host, departed ? undefined : counts);
+    fromOthers.setCountsOf(host, departed ? undefined : counts);
     if (departed) reported.delete(host);
     else reported.set(host, counts);
   }
@@ -30,6 +30,6 @@
       (total, counts) => total + (counts.get(name) ?? 0),
       0,
     );
-    t.is(elsewhere.countAt(name), sum);
+    t.is(fromOthers.countAt(name), sum);
   }
 });
--- a/packages/daemon/src/forwarding/runner_attempt.ts
+++ b/packages/daemon/src/forwarding/runner_attempt.ts
@@ -5,7 +5,7 @@
 import type * as callerRequest from "./caller_request.ts";
 import type * as requestClock from "./request_clock.ts";
 import type * as runnerTracker from "./runner_tracker.ts";
-import * as runnerCaller from "./runner_caller.ts";
+import * as runnerClientModule from "./runner_client.ts";
 import * as urgencyAtRunner from "./urgency_at_runner.ts";
 
 /** How often an attempt is checked for progress. */
@@ -30,7 +30,7 @@
    */
   spentBefore: number;
   tracker: runnerTracker.RunnerTracker;
-  caller: runnerCaller.RunnerCaller;
+  runnerClient: runnerClientModule.RunnerClient;
   relay: answerRelay.AnswerRelay;
   /** Cancels the attempt; its reason is the attempt's outcome. */
   cancel: AbortSignal;
@@ -85,8 +85,8 @@
 
   async #callRunner(): Promise<attemptOutcome.AttemptOutcome> {
     const { request, runner, sink, route, account } = this.parameters;
-    const { caller, relay, clock, cancel, spentBefore } = this.parameters;
-    const answer = await caller.call({
+    const { runnerClient, relay, clock, cancel, spentBefore } = this.parameters;
+    const answer = await runnerClient.call({
       request,
       runner,
       millisecondsLeft: clock.millisecondsLeft,
@@ -109,22 +109,22 @@
   }
 
   async #handleAnswer(
-    answer: runnerCaller.RunnerAnswer,
+    answer: runnerClientModule.RunnerAnswer,
   ): Promise<attemptOutcome.AttemptOutcome> {
     const { tracker, runner, onAnswerStart } = this.parameters;
     const { verdict, head, signed, body } = answer;
     const reason = `status ${head.status}`;
     switch (verdict) {
-      case runnerCaller.Verdict.WrongRunner:
+      case runnerClientModule.Verdict.WrongRunner:
         tracker.removeReplaced(runner);
         return {
           kind: attemptOutcome.AttemptOutcomeKind.NotRun,
           reason: "another runner has the address",
         };
-      case runnerCaller.Verdict.NotRun:
+      case runnerClientModule.Verdict.NotRun:
         tracker.noteRefusal(runner.identifier);
         return { kind: attemptOutcome.AttemptOutcomeKind.NotRun, reason };
-      case runnerCaller.Verdict.Failed: {
+      case runnerClientModule.Verdict.Failed: {
         const completeBody = await answerRelay.readCompleteBody(body);
         if (completeBody.isErr())
           return { kind: attemptOutcome.AttemptOutcomeKind.Unknown, reason };
@@ -135,7 +135,7 @@
           failure,
         };
       }
-      case runnerCaller.Verdict.Ran:
+      case runnerClientModule.Verdict.Ran:
         if (!signed) {
           return {
             kind: attemptOutcome.AttemptOutcomeKind.Unknown,
@@ -149,7 +149,7 @@
   }
 
   async #relayAnswer(
-    answer: runnerCaller.RunnerAnswer,
+    answer: runnerClientModule.RunnerAnswer,
   ): Promise<attemptOutcome.AttemptOutcome> {
     const { relay } = this.parameters;
     const relayed = await relay.relay(answer);
@@ -165,15 +165,15 @@
   }
 
   #outcomeOfFailure(
-    failure: runnerCaller.CallFailure,
+    failure: runnerClientModule.CallFailure,
   ): attemptOutcome.AttemptOutcome {
     const { tracker, runner } = this.parameters;
     const { reason } = failure;
     switch (failure.kind) {
-      case runnerCaller.CallFailureKind.NotSent:
+      case runnerClientModule.CallFailureKind.NotSent:
         tracker.suspend(runner.identifier);
         return { kind: attemptOutcome.AttemptOutcomeKind.NotRun, reason };
-      case runnerCaller.CallFailureKind.Unknown: {
+      case runnerClientModule.CallFailureKind.Unknown: {
         const kind = attemptOutcome.AttemptOutcomeKind.Unknown;
         return this.#cancelledOutcome() ?? { kind, reason };
       }
--- a/packages/daemon/src/forwarding/runner_caller.ts
+++ b/packages/daemon/src/forwarding/runner_client.ts
@@ -71,7 +71,7 @@
 }
 
 /** Sends requests to runners. */
-export interface RunnerCaller {
+export interface RunnerClient {
   call(call: RunnerCall): Promise<neverthrow.Result<RunnerAnswer, CallFailure>>;
   /**
    * Checks whether anything accepts connections at a runner's address, without
--- a/packages/daemon/src/forwarding/runner_tracker.ts
+++ b/packages/daemon/src/forwarding/runner_tracker.ts
@@ -2,7 +2,7 @@
 import * as traffic from "@geraniumkeel/traffic";
 import * as chooseRunner from "./choose_runner.ts";
 import * as departedIncarnations from "./departed_incarnations.ts";
-import * as outstandingElsewhere from "./outstanding_elsewhere.ts";
+import * as outstandingFromOthers from "./outstanding_from_others.ts";
 
 /**
  * Outcome of a call, as far as it says something about the health of the
@@ -126,7 +126,7 @@
   /** Incarnations still listed although another runner has their address. */
   #replacedIncarnations = new Set<string>();
   readonly #departed = new departedIncarnations.DepartedIncarnations();
-  readonly #otherEntries = new outstandingElsewhere.OutstandingElsewhere();
+  readonly #otherEntries = new outstandingFromOthers.OutstandingFromOthers();
   /**
    * When the next probe may be sent to each service whose runners refuse
    * requests.
@@ -148,7 +148,7 @@
   update(list: traffic.RunnerList): void {
     const listed = new Set<string>();
     const stillListed = new Set<string>();
-    for (const entry of this.#departed.apply(list.runners)) {
+    for (const entry of this.#departed.markLeaving(list.runners)) {
       if (this.#replacedIncarnations.has(traffic.incarnationOf(entry))) {
         stillListed.add(traffic.incarnationOf(entry));
         continue;
--- a/packages/daemon/src/forwarding_mod.ts
+++ b/packages/daemon/src/forwarding_mod.ts
@@ -7,7 +7,7 @@
 export * from "./forwarding/caller_request.ts";
 export * from "./forwarding/forwarder.ts";
 export * from "./forwarding/runner_tracker.ts";
-export * from "./forwarding/runner_caller.ts";
+export * from "./forwarding/runner_client.ts";
 export * from "./gateway/gateway.ts";
 export * from "./quarantine/runner_crash.ts";
 export * from "./gateway/operator_view.ts";
--- a/packages/daemon/src/gateway/gateway.ts
+++ b/packages/daemon/src/gateway/gateway.ts
@@ -6,7 +6,7 @@
 import * as retryBudget from "../dispatch/retry_budget.ts";
 import * as forwarderModule from "../forwarding/forwarder.ts";
 import * as runnerTracker from "../forwarding/runner_tracker.ts";
-import type * as runnerCaller from "../forwarding/runner_caller.ts";
+import type * as runnerClientModule from "../forwarding/runner_client.ts";
 import * as entryMesh from "../mesh/entry_mesh.ts";
 import * as memberRows from "../mesh/member_rows.ts";
 import * as epochConfirmation from "./epoch_confirmation.ts";
@@ -69,7 +69,7 @@
   table: backingServices.TableService;
   configurationSource: traffic.DocumentSource<traffic.TrafficConfiguration>;
   runnerSource: traffic.DocumentSource<traffic.RunnerList>;
-  caller: runnerCaller.RunnerCaller;
+  runnerClient: runnerClientModule.RunnerClient;
   logger: common.Logger;
   metrics: common.Metrics;
   lifeCycle: common.LifeCycle;
@@ -89,8 +89,8 @@
   readonly forwarder: forwarderModule.Forwarder;
   readonly mesh: entryMesh.EntryMesh;
   readonly quarantine: quarantine.Quarantine;
-  readonly endWatch: crashDetector.CrashDetector;
-  readonly endReview: crashReview.CrashReview;
+  readonly crashDetector: crashDetector.CrashDetector;
+  readonly crashReview: crashReview.CrashReview;
   readonly #rows: quarantineRows.QuarantineRows;
   readonly #confirmation: epochConfirmation.EpochConfirmation;
   /** The latest reading of the configuration from the store. */
@@ -101,7 +101,7 @@
   #stopping = false;
 
   constructor(readonly parameters: GatewayParameters) {
-    const { self, random, logger, metrics, caller } = parameters;
+    const { self, random, logger, metrics, runnerClient } = parameters;
     this.#maxProofAgeMilliseconds =
       parameters.revocationMilliseconds * MAX_PROOF_AGE_FRACTION;
     const { dataCentre } = self;
@@ -117,35 +117,35 @@
       versionsOf: (service) => this.runnerTracker.versionsOf(service),
       send: (message, except) => this.mesh.broadcast(message, except),
       relays: false,
-      onReportedCrash: (life, endedAt) =>
-        this.endWatch.applyReportedCrash(life, endedAt),
+      onReportedCrash: (incarnation, crashedAt) =>
+        this.crashDetector.applyReportedCrash(incarnation, crashedAt),
       rows: quarantineRows.inBackground(this.#rows, parameters.lifeCycle),
       logger,
       metrics,
     });
-    this.endWatch = new crashDetector.CrashDetector({
-      presenceOf: (runner) => caller.presenceOf(runner),
+    this.crashDetector = new crashDetector.CrashDetector({
+      presenceOf: (runner) => runnerClient.presenceOf(runner),
       inUse: (runner) => this.runnerTracker.inUse(runner),
-      crashTimeOf: (life) => this.quarantine.crashTimeOf(life),
-      onCrash: (end) => this.quarantine.recordCrash(end),
+      crashTimeOf: (incarnation) => this.quarantine.crashTimeOf(incarnation),
+      onCrash: (crash) => this.quarantine.recordCrash(crash),
     });
-    this.endReview = new crashReview.CrashReview({
+    this.crashReview = new crashReview.CrashReview({
       clock: common.now,
-      crashTimeOf: (life) => this.quarantine.crashTimeOf(life),
+      crashTimeOf: (incarnation) => this.quarantine.crashTimeOf(incarnation),
       crashedIncarnations: (earliest, latest) =>
         this.quarantine.crashedIncarnations(earliest, latest),
-      onDisproved: (life) => this.quarantine.disproveCrash(life),
+      onDisproved: (incarnation) => this.quarantine.disproveCrash(incarnation),
     });
     this.forwarder = new forwarderModule.Forwarder({
       configuration: this.configuration,
       proofAge: () => this.#proofAge,
       maxProofAgeMilliseconds: this.#maxProofAgeMilliseconds,
       tracker: this.runnerTracker,
-      caller,
+      runnerClient,
       budgetOf: (service) => this.#budgetOf(service),
       quarantine: this.quarantine,
-      endWatch: this.endWatch,
-      onAnswerStart: (runner) => this.endReview.reviewAnswer(runner),
+      crashDetector: this.crashDetector,
+      onAnswerStart: (runner) => this.crashReview.reviewAnswer(runner),
       random,
       logger,
       metrics,
@@ -379,9 +379,9 @@
       const list = this.runners.value;
       if (list && list.version !== version) {
         this.runnerTracker.update(list);
-        this.endWatch.applyList(list);
+        this.crashDetector.applyList(list);
       }
-      if (list) this.endReview.reviewList(list, this.runners.age);
+      if (list) this.crashReview.reviewList(list, this.runners.age);
       version = list?.version ?? version;
       await this.runners.changes.next(
         CHANGE_CHECK_INTERVAL_MILLISECONDS,
@@ -396,12 +396,12 @@
     if (existing) return existing;
     const { share, allowance } = this.parameters.retries;
     const entries = Math.max(MIN_ENTRIES, this.mesh.size);
-    const largestBalance = (allowance * USED_RETRY_FRACTION) / entries;
+    const maxBalance = (allowance * USED_RETRY_FRACTION) / entries;
     const created = new retryBudget.RetryBudget({
       earnedPerRequest: share * USED_RETRY_FRACTION,
-      maxBalance: largestBalance,
+      maxBalance,
       // A process that restarts may have spent its balance just before.
-      initialBalance: largestBalance / 2,
+      initialBalance: maxBalance / 2,
     });
     this.#budgets.set(service, created);
     return created;
--- a/packages/stand_ins/src/gateways/gateways.ts
+++ b/packages/stand_ins/src/gateways/gateways.ts
@@ -118,7 +118,7 @@
       table,
       configurationSource: this.#configurationSource(table),
       runnerSource: this.pool.source(),
-      caller: this.pool.callerOf(host),
+      runnerClient: this.pool.callerOf(host),
       logger,
       metrics: common.discardMetrics(),
       lifeCycle,
--- a/packages/stand_ins/src/gateways/pool_runner.ts
+++ b/packages/stand_ins/src/gateways/pool_runner.ts
@@ -96,7 +96,7 @@
   run(
     entry: string,
     call: daemon.RunnerCall,
-  ): ReturnType<daemon.RunnerCaller["call"]> {
+  ): ReturnType<daemon.RunnerClient["call"]> {
     const body = call.request.body.toString();
     const [, told] = /ends-runner after=(\d+)/.exec(body) ?? [];
     const endsAfter = this.endsOnRequest ? told : undefined;
@@ -128,7 +128,7 @@
 async function answerOf(
   ending: Promise<RunEnd>,
   resumeAfter: string,
-): ReturnType<daemon.RunnerCaller["call"]> {
+): ReturnType<daemon.RunnerClient["call"]> {
   return neverthrow.ok({
     verdict: daemon.Verdict.Ran,
     head: { status: 200, headers: [] },
@@ -140,7 +140,7 @@
 /** Says nothing until the run has ended. */
 async function noAnswer(
   ending: Promise<RunEnd>,
-): ReturnType<daemon.RunnerCaller["call"]> {
+): ReturnType<daemon.RunnerClient["call"]> {
   await ending;
   const kind = daemon.CallFailureKind.Unknown;
   return neverthrow.err({ kind, reason: "reset" });
--- a/packages/stand_ins/src/gateways/runner_pool.ts
+++ b/packages/stand_ins/src/gateways/runner_pool.ts
@@ -130,7 +130,7 @@
   }
 
   /** Calls of one entry. */
-  callerOf(entry: string): daemon.RunnerCaller {
+  callerOf(entry: string): daemon.RunnerClient {
     return {
       call: (call) => this.#call(entry, call),
       presenceOf: async (runner) => this.#presence(entry, runner),
@@ -162,7 +162,7 @@
   async #call(
     entry: string,
     call: daemon.RunnerCall,
-  ): ReturnType<daemon.RunnerCaller["call"]> {
+  ): ReturnType<daemon.RunnerClient["call"]> {
     const runner = this.#runnerAt(call.runner);
     if (this.#presence(entry, call.runner) !== common.Presence.Listening) {
       const kind = daemon.CallFailureKind.NotSent;
