--- a/packages/daemon/src/forwarding/answer_relay.ts
+++ b/packages/daemon/src/forwarding/answer_relay.ts
@@ -96,8 +96,7 @@
       }
       throw cause;
     }
-    if (splitter.pendingBytes > 0)
-      return neverthrow.err("stream ended within an event");
+    if (splitter.pendingBytes > 0) return neverthrow.err("event not ended");
     if (!this.#begun) sink.begin(answer.head);
     this.#begun = true;
     sink.end();
@@ -118,7 +117,7 @@
     if (number !== undefined) {
       const isFirst = this.#lastNumber === undefined;
       if (!isFirst && number !== (this.#lastNumber ?? 0) + 1) {
-        return `got event ${number} after event ${this.#lastNumber}`;
+        return `event ${number} after ${this.#lastNumber}`;
       }
       this.#lastNumber = number;
       this.#resumeAfter = String(number);
--- a/packages/daemon/src/forwarding/attempt_outcome.ts
+++ b/packages/daemon/src/forwarding/attempt_outcome.ts
@@ -44,7 +44,7 @@
 /** Outcome of an attempt whose request was quarantined. */
 export const QUARANTINED: AttemptOutcome = {
   kind: AttemptOutcomeKind.Quarantined,
-  reason: "in quarantine: runners crashed while they ran this request",
+  reason: "in quarantine: runners ended while they ran this request",
 };
 
 /**
--- a/packages/daemon/src/forwarding/forwarded_request.ts
+++ b/packages/daemon/src/forwarding/forwarded_request.ts
@@ -181,7 +181,7 @@
         return (
           lastOutcome ?? {
             kind: attemptOutcome.AttemptOutcomeKind.NotRun,
-            reason: "no runner available",
+            reason: "no runner",
           }
         );
       }
--- a/packages/daemon/src/forwarding/runner_attempt.ts
+++ b/packages/daemon/src/forwarding/runner_attempt.ts
@@ -119,7 +119,7 @@
         tracker.removeReplaced(runner);
         return {
           kind: attemptOutcome.AttemptOutcomeKind.NotRun,
-          reason: "another runner has the address",
+          reason: "another runner there",
         };
       case runnerClientModule.Verdict.NotRun:
         tracker.noteRefusal(runner.identifier);
@@ -190,7 +190,7 @@
     if (cancelled || !this.#stallCancel.signal.aborted) return cancelled;
     return {
       kind: attemptOutcome.AttemptOutcomeKind.Stalled,
-      reason: "runner made no progress on the request",
+      reason: "did not get on",
     };
   }
 }
--- a/packages/daemon/src/gateway/operator_view.ts
+++ b/packages/daemon/src/gateway/operator_view.ts
@@ -56,10 +56,7 @@
     case `/admin/v1/state?host=${encodeURIComponent(gateway.host)}`:
       return jsonAnswer(gateway.describe());
     default:
-      return refusal(
-        404,
-        "no such path here; ask the process on a host for that host's state",
-      );
+      return refusal(404, "ask the process itself for its state");
   }
 }
 
@@ -155,7 +152,7 @@
 function refusal(status: number, detail: string): OperatorAnswer {
   const body = problem.problemBody({
     status,
-    title: status === 404 ? "Not found" : "Method not allowed",
+    title: status === 404 ? "Nothing there" : "Not allowed",
     outcome: problem.Outcome.NotRun,
     reason: "not-served-here",
     detail,
