--- a/packages/daemon/src/forwarding/attempt_outcome.ts
+++ b/packages/daemon/src/forwarding/attempt_outcome.ts
@@ -67,6 +67,7 @@
 /** What the log says about an attempt. */
 export interface AttemptSummary {
   runner: string;
+  /** Kind of the attempt's outcome. */
   end: AttemptOutcomeKind;
   reason: string;
   milliseconds: number;
@@ -74,7 +75,7 @@
 
 /**
  * Whether another runner may be tried after an attempt with this outcome, when
- * `runs` attempts ran or may have run.
+ * runners ran, or may have run, `runs` attempts.
  */
 export function mayRetry(
   outcome: AttemptOutcome,
--- a/packages/daemon/src/forwarding/choose_runner.ts
+++ b/packages/daemon/src/forwarding/choose_runner.ts
@@ -10,22 +10,29 @@
   sameDataCentre: boolean;
   /** Share of the runner's recent answers that failed, 0 to 1. */
   failureShare: number;
-  /** The runner should get no new requests for now. */
+  /**
+   * The runner gets no new requests for now: this entry could not connect to it
+   * a moment ago, its requests make no progress, or a runner of its lock-step
+   * service has stalled and this one has sent nothing either.
+   */
   suspended: boolean;
 }
 
 /**
  * Score added for a runner in another data centre, as a fraction of its slots.
- * A runner in the same data centre is preferred until it is fuller by this
- * much. The way to another data centre takes 1 to 3 ms of some 400 ms allowed:
- * less than one more request costs in a batch of eight.
+ * On average over the random part of the scores, a runner in the same data
+ * centre is preferred until it is fuller by this much. The way to another data
+ * centre takes 1 to 3 ms of the 400 ms or so that an answer may take. That is
+ * less than one more request costs at a runner that processes eight at the same
+ * time; one more request there adds an eighth to the score.
  */
 const REMOTE_PENALTY = 0.06;
 /**
  * Score added for a runner that fails all its requests, in multiples of its
- * slots. A retry costs a complete further attempt, so a runner that fails half
- * of its requests is chosen only if the others are fuller by two thirds of
- * their slots or more.
+ * slots. A retry costs a complete further attempt. A runner that fails half of
+ * its requests gets 0.7 added to its score. It is preferred to a runner without
+ * failures only if that runner is fuller by some two thirds of its slots or
+ * more; the random parts of the scores make this 0.62 to 0.78.
  */
 const FAILURE_PENALTY = 1.4;
 /**
@@ -53,15 +60,15 @@
  */
 const SAMPLE_SIZE = 2;
 /**
- * Number of runners up to which all are compared: so few cannot get many
- * requests on outdated counts.
+ * Number of runners up to which all are compared. Entries cannot send many
+ * requests by outdated counts to so few runners.
  */
 const MAX_RUNNERS_WITHOUT_SAMPLING = 5;
 
 /**
  * Chooses the runner with the lowest score, or `undefined` if there is none.
- * Suspended runners are chosen only if there are no others: a slow answer is
- * better than none.
+ * Suspended runners are chosen only if there are no others: they may answer
+ * late, and a late answer is better than none.
  */
 export function chooseRunner(
   views: RunnerView[],
--- a/packages/daemon/src/forwarding/departed_incarnations.ts
+++ b/packages/daemon/src/forwarding/departed_incarnations.ts
@@ -1,20 +1,23 @@
 import * as common from "@geraniumkeel/common";
 import * as traffic from "@geraniumkeel/traffic";
 
-/** How long a departed incarnation is remembered. */
+/** How long an incarnation is remembered after a list showed it as leaving. */
 const RETENTION_MILLISECONDS = 60_000;
 
 /**
- * Incarnations of runners that were once listed as leaving. A list made from
- * older rows says that such a runner is ready; without this record it would get
+ * Remembers the incarnations of runners that a runner list showed as leaving,
+ * until `RETENTION_MILLISECONDS` after the last such list. A leaving runner
+ * still runs, but stops soon. A later list may be made from older rows of the
+ * runners and show it as ready. Without this record the runner would then get
  * new requests shortly before it stops.
  */
 export class DepartedIncarnations {
   readonly #lastListedLeavingAt = new Map<string, number>();
 
   /**
-   * Returns the runners of a list, each marked as leaving if its incarnation
-   * was ever listed as leaving.
+   * Returns the runners of a list, each marked as leaving if its incarnation is
+   * remembered as leaving. Remembers those that the list shows as leaving, and
+   * forgets those whose retention is over.
    */
   markLeaving(runners: readonly traffic.RunnerEntry[]): traffic.RunnerEntry[] {
     const now = common.now();
--- a/packages/daemon/src/forwarding/event_splitter.ts
+++ b/packages/daemon/src/forwarding/event_splitter.ts
@@ -1,20 +1,26 @@
-/** Terminates each event of a stream. */
+/**
+ * Blank line that terminates each server-sent event. Only line ends of the form
+ * `\n` are recognized.
+ */
 const EVENT_END = Buffer.from("\n\n");
-/** Field that carries the number of an event. */
+/** Field of an event that carries its number. */
 const ID_FIELD = "id:";
 
-/** One complete event of a stream. */
+/** One complete event of a stream of server-sent events. */
 export interface StreamEvent {
-  /** Number of the event; `undefined` if it has none. */
+  /**
+   * Number in the event's `id` field, 0 if the field is empty; `undefined` if
+   * there is no such field or its value is not an integer.
+   */
   number: number | undefined;
   /** Bytes of the event, including the blank line that terminates it. */
   bytes: Buffer;
 }
 
 /**
- * Splits a stream into complete events. A runner may stop in the middle of an
- * event. Only complete events are relayed, so that another attempt can continue
- * after the last of them.
+ * Splits a stream into complete server-sent events. A runner may stop in the
+ * middle of an event. Only complete events are relayed, so that another attempt
+ * can continue after the last of them.
  */
 export class EventSplitter {
   #incomplete: Buffer = Buffer.alloc(0);
--- a/packages/daemon/src/forwarding/forwarded_request.ts
+++ b/packages/daemon/src/forwarding/forwarded_request.ts
@@ -15,13 +15,19 @@
 import type * as runnerClientModule from "./runner_client.ts";
 
 /**
- * Maximum time that a request waits while the runners of its service refuse
- * requests although they have room. A group that lost a rank is re-formed
- * within this time. A caller that is refused in the meantime has mostly used up
- * its one retry by the time the group is back.
+ * Time since its arrival after which a request no longer waits for a runner
+ * while runners of its service refuse requests although they have room. The
+ * time includes earlier attempts. A group that lost a rank is re-formed within
+ * this time. Callers retry only once. If the request were refused in the
+ * meantime, most callers would have retried, and been refused again, before the
+ * group is back.
  */
 const MAX_WAIT_MILLISECONDS = 1_500;
-/** Fraction of the caller's timeout that such a wait may take. */
+/**
+ * Fraction of the caller's timeout after which, counted from the arrival, a
+ * request no longer waits for a runner. A request without a timeout (0) does
+ * not wait.
+ */
 const MAX_WAIT_TIMEOUT_FRACTION = 0.25;
 /** How often a waiting request checks for a runner. */
 const WAIT_CHECK_INTERVAL_MILLISECONDS = 50;
@@ -42,6 +48,7 @@
   budgetOf: (service: string) => retryBudget.RetryBudget;
   quarantine: quarantine.Quarantine;
   crashDetector: crashDetector.CrashDetector;
+  /** Called when the head of a signed successful answer has arrived. */
   onAnswerStart: (runner: traffic.RunnerEntry) => void;
   random: common.Random;
   metrics: common.Metrics;
@@ -52,6 +59,7 @@
   route: string;
   account: string;
   service: string;
+  /** Kind of the request's outcome. */
   end: string;
   milliseconds: number;
   attempts: attemptOutcome.AttemptSummary[];
@@ -69,17 +77,23 @@
  */
 export class ForwardedRequest implements watchedRequests.WatchedRequest {
   readonly #attempts: attemptOutcome.AttemptSummary[] = [];
+  /** Runners that a retry does not go to; cleared while the request waits. */
   readonly #tried = new Set<string>();
-  /** Aborts the attempt in progress; the reason is its outcome. */
+  /**
+   * Cancels the request, and aborts its attempt if one is in progress. The
+   * signal's reason is the outcome of the request, an `AttemptOutcome`.
+   */
   readonly #cancellation = new AbortController();
   readonly #relay: answerRelay.AnswerRelay;
   readonly #fingerprint: fingerprint.LazyFingerprint;
-  /** Number of attempts that ran or may have run. */
+  /** Number of attempts that a runner ran or may have run. */
   #runs = 0;
   readonly #clock: requestClock.RequestClock;
   #attempt: runnerAttempt.RunnerAttempt | undefined;
   /**
-   * Milliseconds from arrival to the first part of an answer; -1 before that.
+   * Milliseconds from the request's arrival until the head of the first signed
+   * successful answer arrived from a runner; -1 before that. Sent as the metric
+   * `FirstToken`, although the head may arrive before any text token.
    */
   #firstAnswerMilliseconds = -1;
 
@@ -109,8 +123,9 @@
   }
 
   /**
-   * Cancels the request because it has been quarantined. An attempt whose
-   * answer has begun continues to its end, and so does a request that may run
+   * Cancels the request because it has been quarantined. Only the quarantine
+   * calls this. A request for which a runner has begun an answer continues,
+   * also if a later attempt is in progress, and so does a request that may run
    * at most once.
    */
   stop(): void {
@@ -121,7 +136,8 @@
   }
 
   /**
-   * Runs the request until the caller has its final answer or has disconnected.
+   * Makes attempts until the caller has its final answer or has disconnected.
+   * Returns the summary for the log.
    */
   async run(): Promise<ForwardOutcome> {
     const { route, account, service, quarantine } = this.parameters;
@@ -156,6 +172,7 @@
     const { metrics, service } = this.parameters;
     const outcome = finalOutcome.kind;
     metrics.count(common.Metric.Requests, { service, outcome });
+    // Includes the attempts after runners that did not run the request.
     const furtherAttempts = this.#attempts.length - 1;
     if (furtherAttempts > 0)
       metrics.count(common.Metric.Retries, { service }, furtherAttempts);
@@ -174,6 +191,8 @@
     for (;;) {
       const cancelled = this.#cancelledOutcome();
       if (cancelled) return cancelled;
+      // The quarantine returns 0 if the request may be sent to a runner, else
+      // the milliseconds after which the caller is to send it again.
       if (quarantine.admit(this) > 0) return attemptOutcome.QUARANTINED;
       const runner = tracker.choose(service, this.#tried);
       if (!runner) {
@@ -188,6 +207,8 @@
       if (lastOutcome && !budget.spend()) return lastOutcome;
       this.#tried.add(runner.identifier);
       lastOutcome = await this.#attemptAt(runner);
+      // A retry waits for the check: if it finds a crash, the request may be
+      // quarantined. A final answer does not wait for it.
       const crashCheck = this.#checkForCrash(lastOutcome, runner);
       if (!attemptOutcome.mayRetry(lastOutcome, route, this.#runs))
         return lastOutcome;
@@ -195,7 +216,10 @@
     }
   }
 
-  /** Finds out whether an attempt failed because its runner crashed. */
+  /**
+   * Has the crash detector check whether an attempt failed because its runner
+   * crashed. The detector passes a crash to the quarantine.
+   */
   async #checkForCrash(
     outcome: attemptOutcome.AttemptOutcome,
     runner: traffic.RunnerEntry,
@@ -211,9 +235,11 @@
   }
 
   /**
-   * Waits a moment while the runners of the service refuse requests although
-   * they have room, as a group does that is being re-formed. Returns false if
-   * no runner refuses, or if the request has waited too long already.
+   * Waits a moment if a runner of the service refuses requests although it has
+   * room, as the runners of a group do while the group is re-formed. After
+   * that, runners that were tried before may be tried again. Returns false,
+   * without waiting, if no runner refuses requests, if the request is
+   * cancelled, or if it arrived too long ago.
    */
   async #waitForRunner(): Promise<boolean> {
     const { tracker, service, sink, request } = this.parameters;
@@ -261,14 +287,16 @@
   }
 
   /**
-   * Whether the attempt may be abandoned for another runner. That requires an
-   * idempotent request with attempts left, retry budget, and another runner
-   * that is not suspended. Otherwise waiting is better: the attempt may still
-   * succeed, and abandoning it would mean a refusal.
+   * Whether the attempt in progress may be abandoned for another runner. That
+   * requires an idempotent request that may run once more after this attempt,
+   * retry budget, and another runner that is not suspended. Otherwise waiting
+   * is better: the attempt may still succeed, and abandoning it would mean a
+   * refusal.
    */
   #mayTryAnother(): boolean {
     const { route, tracker, service, budgetOf } = this.parameters;
     if (route.repeatability !== traffic.Repeatability.Idempotent) return false;
+    // The attempt in progress is not in `#runs` yet, but may have run.
     if (this.#runs + 1 >= route.mostAttempts) return false;
     if (budgetOf(service).balance < 1) return false;
     const others = tracker.candidates(service, this.#tried);
@@ -306,6 +334,7 @@
     if (outcome.failure)
       return sink.answer(outcome.failure.head, outcome.failure.body);
     const kind = attemptOutcome.refusalKind(outcome, this.#runs);
+    // The quarantine returns 0 if the request may be sent to a runner now.
     const retryAfterMilliseconds =
       quarantine.remainingMilliseconds(this) ||
       retryDelay.retryDelayMilliseconds(this.#clock.millisecondsLeft, random);
--- a/packages/daemon/src/forwarding/forwarder.ts
+++ b/packages/daemon/src/forwarding/forwarder.ts
@@ -26,7 +26,7 @@
   budgetOf: (service: string) => retryBudget.RetryBudget;
   quarantine: quarantine.Quarantine;
   crashDetector: crashDetector.CrashDetector;
-  /** Called when a runner begins an answer. */
+  /** Called when the head of a signed successful answer has arrived. */
   onAnswerStart: (runner: traffic.RunnerEntry) => void;
   random: common.Random;
   logger: common.Logger;
--- a/packages/daemon/src/forwarding/outstanding_from_others.ts
+++ b/packages/daemon/src/forwarding/outstanding_from_others.ts
@@ -5,12 +5,13 @@
  * and two hundred runners.
  */
 export class OutstandingFromOthers {
+  /** Counts of each entry, by the entry's host; each is a map by runner. */
   readonly #countsByEntry = new Map<string, ReadonlyMap<string, number>>();
   readonly #sums = new Map<string, number>();
 
   /**
-   * Replaces the counts of an entry, by runner; `undefined` when the entry is
-   * disconnected.
+   * Replaces the counts that an entry reported: how many requests it has in
+   * progress at each runner. `undefined` if the entry is disconnected.
    */
   setCountsOf(
     entry: string,
--- a/packages/daemon/src/forwarding/runner_attempt.ts
+++ b/packages/daemon/src/forwarding/runner_attempt.ts
@@ -36,7 +36,7 @@
   cancel: AbortSignal;
   /** Whether the attempt may be abandoned for another runner. */
   mayTryAnother: () => boolean;
-  /** Called when a runner begins an answer. */
+  /** Called when the head of a signed successful answer has arrived. */
   onAnswerStart: (runner: traffic.RunnerEntry) => void;
 }
 
--- a/packages/daemon/src/forwarding/runner_client.ts
+++ b/packages/daemon/src/forwarding/runner_client.ts
@@ -3,14 +3,15 @@
 import type * as traffic from "@geraniumkeel/traffic";
 import type * as callerRequest from "./caller_request.ts";
 
-/** What a runner receives with a caller's request. */
+/** One call to a runner: the caller's request, and what it is sent with. */
 export interface RunnerCall {
   request: callerRequest.CallerRequest;
   runner: traffic.RunnerEntry;
-  /** Time left for the request. */
+  /** Time left for the request; sent to the runner. */
   millisecondsLeft: number;
   /** Account of the caller; empty if the request needed no key. */
   account: string;
+  /** Urgency that is sent to the runner; a higher number is less urgent. */
   urgency: number;
   /**
    * Number of the event after which a stream continues; empty to start from the
@@ -23,7 +24,10 @@
 
 /** What a runner's answer says about the request. */
 export enum Verdict {
-  /** The runner ran the request successfully, or is running it. */
+  /**
+   * The runner ran the request successfully, or is running it. Trusted only if
+   * the answer is signed.
+   */
   Ran = "ran",
   /** The runner ran the request, and it failed. */
   Failed = "failed",
@@ -40,8 +44,9 @@
   verdict: Verdict;
   head: callerRequest.AnswerHead;
   /**
-   * Whether a signature proves that the answer comes from the runner. Only then
-   * does it count as a success.
+   * Whether the answer carries a signature. The forwarder relays an answer with
+   * the verdict `Ran` only if it does; otherwise the request may have run, and
+   * the attempt's outcome is unknown.
    */
   signed: boolean;
   /**
@@ -54,23 +59,24 @@
 /** A body that ended early. */
 export class TruncatedBody extends Error {}
 
-/** Whether a request may have run although its call failed. */
+/** How a call failed, by whether the request may have run nevertheless. */
 export enum CallFailureKind {
   /** No connection was made, so nothing was sent. */
   NotSent = "not-sent",
   /**
-   * There was no answer, or none that can be trusted; the request may have run.
+   * A connection was made, but then the call failed or was aborted, or the
+   * answer was one to another request. The request may have run.
    */
   Unknown = "unknown",
 }
 
-/** A call that got no answer. */
+/** A failed call: no head of an answer to the request arrived. */
 export interface CallFailure {
   kind: CallFailureKind;
   reason: string;
 }
 
-/** Sends requests to runners. */
+/** This entry's client of runners: sends callers' requests to them. */
 export interface RunnerClient {
   call(call: RunnerCall): Promise<neverthrow.Result<RunnerAnswer, CallFailure>>;
   /**
