--- a/packages/daemon/src/forwarding/runner_tracker.ts
+++ b/packages/daemon/src/forwarding/runner_tracker.ts
@@ -168,8 +168,8 @@
   }
 
   /**
-   * Replaces the request counts of another entry; `undefined` when that entry
-   * is disconnected.
+   * Replaces the request counts of another entry, which runs on `host`;
+   * `undefined` if that entry is disconnected.
    */
   setCountsOf(host: string, counts: Map<string, number> | undefined): void {
     this.#otherEntries.setCountsOf(host, counts);
--- a/packages/daemon/src/gateway/gateway.ts
+++ b/packages/daemon/src/gateway/gateway.ts
@@ -21,12 +21,16 @@
  * they were admitted, and their way to the runner.
  */
 const MAX_PROOF_AGE_FRACTION = 0.8;
-/** Entries that poll the store; one more than needed, as one may crash. */
+/**
+ * Entries that poll the store, the table service with the configuration and the
+ * runners' registrations; one more than needed, as one may crash.
+ */
 const STORE_POLLERS = 2;
 /**
- * Age of the last proof at which the first entry beyond these polls the store
- * itself. It is longer than one poll takes. Each further entry waits longer by
- * the stagger, so that not all poll at once.
+ * Age of a document's last proof, that is, time since it was last certain to be
+ * the newest, at which the first entry that is not among the `STORE_POLLERS`
+ * polls the store itself. It is longer than one poll takes. Each further entry
+ * waits longer by the stagger, so that not all poll at once.
  */
 const FALLBACK_AGE_MILLISECONDS = 1_400;
 const FALLBACK_STAGGER_MILLISECONDS = 250;
@@ -35,7 +39,10 @@
  * load.
  */
 const USED_RETRY_FRACTION = 0.7;
-/** Minimum number of entries that the retry allowance is divided by. */
+/**
+ * The retry allowance is divided by the number of known entries, or by this
+ * number if fewer are known.
+ */
 const MIN_ENTRIES = 6;
 /**
  * Minimum duration of a drain. In this time callers notice that the entry is
@@ -62,8 +69,8 @@
   /** Time from the request to stop until the process is killed. */
   stopMilliseconds: number;
   /**
-   * Retries allowed to all entries together in a window: `share` of the
-   * requests, plus `allowance`.
+   * Retries allowed for each service, at all entries together: `share` of the
+   * requests, plus `allowance` in the window in which retries are counted.
    */
   retries: { share: number; allowance: number };
   table: backingServices.TableService;
@@ -89,11 +96,13 @@
   readonly forwarder: forwarderModule.Forwarder;
   readonly mesh: entryMesh.EntryMesh;
   readonly quarantine: quarantine.Quarantine;
+  /** Finds out which runners crashed while they ran requests. */
   readonly crashDetector: crashDetector.CrashDetector;
+  /** Finds reports of crashes that did not happen. */
   readonly crashReview: crashReview.CrashReview;
   readonly #rows: quarantineRows.QuarantineRows;
   readonly #confirmation: epochConfirmation.EpochConfirmation;
-  /** The latest reading of the configuration from the store. */
+  /** The latest reading of the configuration from the store, with its epoch. */
   #latestReading: epochConfirmation.ConfigurationReading | undefined;
   readonly #budgets = new Map<string, retryBudget.RetryBudget>();
   readonly #maxProofAgeMilliseconds: number;
@@ -225,12 +234,13 @@
       this.#followDocument("runners", runnerSource, this.runners, signal),
     );
     lifeCycle.run("quarantine", async (signal) => {
-      const restored = await this.#rows.read(signal);
-      if (restored) this.quarantine.applyStoredReports(restored);
+      const storedReports = await this.#rows.read(signal);
+      if (storedReports) this.quarantine.applyStoredReports(storedReports);
     });
+    // The name "board" stands for the runner tracker, also in the state dump.
     lifeCycle.run("board", (signal) => this.#updateTracker(signal));
     lifeCycle.run("confirm", (signal) => this.#confirmation.run(signal));
-    lifeCycle.run("restore", (signal) => this.#restoreRowsAfterEpochs(signal));
+    lifeCycle.run("restore", (signal) => this.#repairRowsAfterRestore(signal));
   }
 
   /**
@@ -245,8 +255,9 @@
   /**
    * Drains this entry. Resolves when all requests are answered and callers have
    * had time to notice that this entry is leaving, or shortly before the
-   * process is killed. Callers use the list of entries that they received for
-   * some seconds more, so requests are served until then.
+   * process is killed. Callers that received a list with this entry use that
+   * list for some seconds more, so this entry still serves requests while it
+   * drains.
    */
   async drain(): Promise<void> {
     const { logger, stopMilliseconds } = this.parameters;
@@ -286,12 +297,12 @@
 
   /**
    * Whether the ranks of a service run in lock-step, in groups. They do if the
-   * layers of its engine are spread over experts.
+   * model of its engines has layers with experts.
    */
   #inLockStep(service: string): boolean {
     const services = this.configuration.value?.services ?? [];
-    const shape = services.find(({ name }) => name === service)?.engine;
-    return (shape?.layers ?? 0) > 0;
+    const engine = services.find(({ name }) => name === service)?.engine;
+    return (engine?.layers ?? 0) > 0;
   }
 
   async #followDocument<T extends traffic.Versioned>(
@@ -331,8 +342,8 @@
   }
 
   /**
-   * Lowest version of the configuration at another entry that takes requests;
-   * `undefined` if there is no such entry.
+   * Lowest version of the configuration among the other entries that reported
+   * that they are ready for requests; `undefined` if there is no such entry.
    */
   #lowestServedVersion(): number | undefined {
     const versions = this.mesh
@@ -343,9 +354,10 @@
 
   /**
    * Writes the rows of quarantined requests again whenever the table was
-   * restored from a copy.
+   * restored from a copy, which begins a new epoch. Only a process that saw the
+   * epoch begin does so: only its state may be newer than the table.
    */
-  async #restoreRowsAfterEpochs(signal: AbortSignal): Promise<void> {
+  async #repairRowsAfterRestore(signal: AbortSignal): Promise<void> {
     const { table, logger } = this.parameters;
     let knownEpoch = table.epoch.number;
     while (!signal.aborted) {
@@ -355,14 +367,16 @@
       knownEpoch = epoch;
       if (!sawBegin) continue;
       const quarantine = this.quarantine.repairRows();
+      // The mesh writes the row of this entry again; it is counted here.
       const code = common.EventCode.TableRowsRestored;
       logger.event(code, { epoch, rows: { entry: 1, quarantine } });
     }
   }
 
   /**
-   * Proof age in milliseconds up to which this entry relies on other entries to
-   * poll the store; 0 if this entry is one that polls.
+   * Age in milliseconds of a document's proof up to which this entry relies on
+   * other entries to poll the store; 0 if this entry is one that polls. It
+   * follows from the entry's position in the order of `followPlace`.
    */
   #restBelowAge(): number {
     const index = this.mesh.followPlace() - STORE_POLLERS;
@@ -371,7 +385,9 @@
   }
 
   /**
-   * Passes each new runner list to the tracker and to the checks for crashes.
+   * Passes each new runner list to the tracker and to the crash detector. The
+   * crash review gets the current list at each change and at each check, as it
+   * depends on the age of the list's proof.
    */
   async #updateTracker(signal: AbortSignal): Promise<void> {
     let version = -1;
--- a/packages/daemon/src/gateway/operator_view.ts
+++ b/packages/daemon/src/gateway/operator_view.ts
@@ -21,20 +21,24 @@
   Unreachable = "unheard",
 }
 
-/** One entry in the answers. */
+/** What the answers say about an entry. */
 interface EntryView {
   host: string;
+  /** Data centre. */
   place: string;
   state: EntryState;
+  /** Version of the entry's configuration; -1 if unknown. */
   revision: number;
 }
 
 /**
  * Answers the command-line tool's requests to a gateway, under the paths and in
- * the formats of the product's own interface, so that `status`, `hosts`,
- * `state` and `quarantine` show the same columns for both. The configuration
- * cannot be changed here, because a gateway only follows it. The only change
- * that a gateway accepts is to lift a quarantine.
+ * the formats of the daemon's own interface for operators (folder `operator`),
+ * so that `status`, `hosts`, `state` and `quarantine` show the same columns for
+ * a gateway and for the daemon's entries. The configuration cannot be changed
+ * here, because a gateway only follows it. The only change that a gateway
+ * accepts is to lift a quarantine; it answers every other request but GET with
+ * "read only".
  */
 export function answerOperator(
   gateway: gatewayModule.Gateway,
@@ -76,6 +80,14 @@
   };
 }
 
+/**
+ * What `geraniumkeel status` shows. Some fields have a narrower meaning than at
+ * the daemon's entries: `presetInForce` is null; `stale` says that the
+ * gateway is not ready although it is not stopping, because it has no runner
+ * list or its configuration's proof is too old; a runner's `host` is its
+ * identifier, `linked` says that it is not suspended, and `sequences` are its
+ * requests in progress from all entries.
+ */
 function statusOf(gateway: gatewayModule.Gateway): unknown {
   return {
     host: gateway.host,
@@ -96,6 +108,11 @@
   };
 }
 
+/**
+ * What `geraniumkeel hosts` shows. `listed` is "live" for each entry, also one
+ * that is leaving or unreachable, and for each runner that is not listed as
+ * leaving; `seen` is the state that this gateway knows.
+ */
 function hostsOf(gateway: gatewayModule.Gateway): unknown {
   const entries = entriesOf(gateway).map(({ host, place, state }) => ({
     name: host,
@@ -116,6 +133,10 @@
   return [...entries, ...runners];
 }
 
+/**
+ * State of a runner in `hosts`. "spared" means suspended; "in use" means neither
+ * leaving nor suspended.
+ */
 function runnerStateOf(runner: runnerTracker.TrackedRunner): string {
   if (runner.leaving) return "leaving";
   return runner.spared ? "spared" : "in use";
