--- a/packages/daemon/src/gateway/gateway.ts
+++ b/packages/daemon/src/gateway/gateway.ts
@@ -70,7 +70,8 @@
   stopMilliseconds: number;
   /**
    * Retries allowed for each service, at all entries together: `share` of the
-   * requests, plus `allowance` in the window in which retries are counted.
+   * requests, plus `allowance` in a window. The budgets know no window: they
+   * use `allowance` as the upper bound of the retries that they save up.
    */
   retries: { share: number; allowance: number };
   table: backingServices.TableService;
