--- a/packages/daemon/src/forwarding/runner_client.ts
+++ b/packages/daemon/src/forwarding/runner_client.ts
@@ -44,9 +44,10 @@
   verdict: Verdict;
   head: callerRequest.AnswerHead;
   /**
-   * Whether the answer carries a signature. The forwarder relays an answer with
-   * the verdict `Ran` only if it does; otherwise the request may have run, and
-   * the attempt's outcome is unknown.
+   * Whether the answer carries a signature, the proof that it comes from the
+   * runner. An answer with the verdict `Ran` counts as a success, and is
+   * relayed, only if it does; otherwise the request may have run, and the
+   * attempt's outcome is unknown.
    */
   signed: boolean;
   /**
