--- a/packages/daemon/src/forwarding/departed_incarnations.ts
+++ b/packages/daemon/src/forwarding/departed_incarnations.ts
@@ -1,38 +1,42 @@
 import * as common from "@geraniumkeel/common";
 import * as traffic from "@geraniumkeel/traffic";
 
-/** How long a departed incarnation is remembered. */
+/** How long an incarnation is remembered after a list showed it as leaving. */
 const RETENTION_MILLISECONDS = 60_000;
 
 /**
- * Incarnations of runners that were once listed as leaving. A list made from
- * older rows says that such a runner is ready; without this record it would get
+ * Remembers the incarnations of runners that a runner list showed as leaving,
+ * until `RETENTION_MILLISECONDS` after the last such list. A leaving runner
+ * still runs, but stops soon. A later list may be made from older rows of the
+ * runners and show it as ready. Without this record the runner would then get
  * new requests shortly before it stops.
  */
 export class DepartedIncarnations {
-  readonly #lastListedAt = new Map<string, number>();
+  readonly #lastListedLeavingAt = new Map<string, number>();
 
   /**
-   * Returns the runners of a list, each marked as leaving if its incarnation
-   * was ever listed as leaving.
+   * Returns the runners of a list, each marked as leaving if its incarnation is
+   * remembered as leaving. Remembers those that the list shows as leaving, and
+   * forgets those whose retention is over.
    */
-  apply(runners: readonly traffic.RunnerEntry[]): traffic.RunnerEntry[] {
+  markLeaving(runners: readonly traffic.RunnerEntry[]): traffic.RunnerEntry[] {
     const now = common.now();
-    const applied = runners.map((runner) => this.#applyTo(runner, now));
-    for (const [incarnation, lastListedAt] of this.#lastListedAt) {
-      if (now - lastListedAt > RETENTION_MILLISECONDS)
-        this.#lastListedAt.delete(incarnation);
+    const marked = runners.map((runner) => this.#markRunner(runner, now));
+    for (const [incarnation, lastListedLeavingAt] of this
+      .#lastListedLeavingAt) {
+      if (now - lastListedLeavingAt > RETENTION_MILLISECONDS)
+        this.#lastListedLeavingAt.delete(incarnation);
     }
-    return applied;
+    return marked;
   }
 
-  #applyTo(runner: traffic.RunnerEntry, now: number): traffic.RunnerEntry {
+  #markRunner(runner: traffic.RunnerEntry, now: number): traffic.RunnerEntry {
     const incarnation = traffic.incarnationOf(runner);
     if (runner.leaving) {
-      this.#lastListedAt.set(incarnation, now);
+      this.#lastListedLeavingAt.set(incarnation, now);
       return runner;
     }
-    if (!this.#lastListedAt.has(incarnation)) return runner;
+    if (!this.#lastListedLeavingAt.has(incarnation)) return runner;
     return { ...runner, leaving: true };
   }
 }
--- a/packages/daemon/src/forwarding/outstanding_elsewhere.ts
+++ b/packages/daemon/src/forwarding/outstanding_from_others.ts
@@ -4,24 +4,25 @@
  * runner would take most of that choice's time: there may be a hundred entries
  * and two hundred runners.
  */
-export class OutstandingElsewhere {
-  readonly #byHost = new Map<string, ReadonlyMap<string, number>>();
+export class OutstandingFromOthers {
+  /** Counts of each entry, by the entry's host; each is a map by runner. */
+  readonly #countsByEntry = new Map<string, ReadonlyMap<string, number>>();
   readonly #sums = new Map<string, number>();
 
   /**
-   * Replaces the counts of an entry, by runner; `undefined` when the entry is
-   * disconnected.
+   * Replaces the counts that an entry reported: how many requests it has in
+   * progress at each runner. `undefined` if the entry is disconnected.
    */
   setCountsOf(
-    host: string,
+    entry: string,
     counts: ReadonlyMap<string, number> | undefined,
   ): void {
-    for (const [runner, count] of this.#byHost.get(host) ?? []) {
+    for (const [runner, count] of this.#countsByEntry.get(entry) ?? []) {
       this.#add(runner, -count);
     }
-    this.#byHost.delete(host);
+    this.#countsByEntry.delete(entry);
     if (!counts) return;
-    this.#byHost.set(host, counts);
+    this.#countsByEntry.set(entry, counts);
     for (const [runner, count] of counts) this.#add(runner, count);
   }
 
