--- a/packages/daemon/src/configuration/configuration_holder.ts
+++ b/packages/daemon/src/configuration/configuration_holder.ts
@@ -5,9 +5,9 @@
 /** Outcome of a received configuration. */
 export enum AdoptOutcome {
   Adopted = "adopted",
-  /** It is not newer than the one in force, and was ignored. */
+  /** The configuration is not newer than the one in force, and was ignored. */
   Old = "old",
-  /** Some of its sections are missing; the caller must request them. */
+  /** Some sections are missing; the caller must request them. */
   Incomplete = "incomplete",
 }
 
@@ -17,6 +17,7 @@
  * accepted change.
  */
 export class ConfigurationHolder {
+  /** Announces that a new revision is in force. */
   readonly changed = new common.ChangeNotice();
   #view: configuration.ConfigurationView | undefined;
   /**
@@ -60,7 +61,10 @@
     return this.#view?.head.sections ?? {};
   }
 
-  /** Sections that a process with other revisions of them lacks. */
+  /**
+   * Sections in force whose revisions differ from those that another process
+   * has.
+   */
   sectionsMissingFor(
     sectionRevisions: Record<string, number>,
   ): wire.SectionPush[] {
@@ -72,8 +76,9 @@
   }
 
   /**
-   * Puts a committed configuration in force if it is newer. The pushed
-   * sections, with those in force, must include all sections of its head.
+   * Puts a committed configuration in force if its revision is higher. Each
+   * section that `head` names must be among the pushed sections or in force
+   * already.
    */
   adopt(head: configuration.Head, pushed: wire.SectionPush[]): AdoptOutcome {
     this.noteRevision(head.revision);
--- a/packages/daemon/src/configuration/configuration_store.ts
+++ b/packages/daemon/src/configuration/configuration_store.ts
@@ -7,10 +7,10 @@
 const HEAD_KEY = "configuration/head";
 /**
  * Number of revisions that the first change in a new epoch of the table skips.
- * The table was restored from a copy and has lost the changes of its last
- * seconds, which are still in force at some entries. Those entries would ignore
- * a change with one of the same revisions. There are fewer changes than this in
- * the lost seconds.
+ * The table was restored from a copy that lacks the changes of the last seconds
+ * before the restore. Those changes are still in force at some entries, which
+ * would ignore a change with one of the same revisions. There are fewer changes
+ * than this in the lost seconds.
  */
 const SKIPPED_REVISIONS = 10_000;
 /**
@@ -64,7 +64,7 @@
     },
   ) {}
 
-  /** Number of the table's epoch. */
+  /** Number of the table's current epoch. */
   get epoch(): number {
     return this.parameters.table.epoch.number;
   }
@@ -104,7 +104,8 @@
 
   /**
    * Commits a document that replaces that of `base`. Of concurrent changes with
-   * the same base, one is committed; the others get a conflict with its head.
+   * the same base, one is committed; the others get a conflict that names the
+   * head of the committed one.
    */
   async commit(parameters: {
     base: ReadHead | undefined;
--- a/packages/daemon/src/configuration/configuration_sync.ts
+++ b/packages/daemon/src/configuration/configuration_sync.ts
@@ -2,18 +2,18 @@
 import * as configurationHolder from "./configuration_holder.ts";
 import * as configurationStore from "./configuration_store.ts";
 import type * as copiedHeadPolicyModule from "./copied_head_policy.ts";
-import * as restoreConfiguration from "./restore_configuration.ts";
+import * as rewriteConfiguration from "./rewrite_configuration.ts";
 
-/** Stands for the epoch of the head if the table has none. */
+/** Epoch that is assumed if the table has no head; lower than any epoch. */
 const NO_HEAD_EPOCH = -1;
 /** Largest number of reads of the head a second by all entries together. */
 const READS_PER_SECOND = 100;
 
 /**
  * Reads the head from the store periodically until the signal aborts, and puts
- * it in force if it is newer. So an entry gets changes that no peer pushed to
- * it. The period grows with the number of entries, so that the load on the
- * table service stays bounded.
+ * the configuration in force if the head is newer. So an entry gets changes
+ * that no peer pushed to it. The period grows with the number of entries, so
+ * that the load on the table service stays bounded.
  */
 export async function syncWithStore(parameters: {
   currentConfiguration: configurationHolder.ConfigurationHolder;
@@ -46,8 +46,9 @@
 }
 
 /**
- * Reads the head once, and puts it in force if it is newer or restores it if it
- * comes from a copy. Returns false if the store did not answer.
+ * Reads the head once. Puts the configuration in force if the head is newer, or
+ * rewrites the head if `CopiedHeadPolicy` requires it. Returns false if the
+ * store did not answer.
  */
 async function readOnce(parameters: {
   currentConfiguration: configurationHolder.ConfigurationHolder;
@@ -59,8 +60,8 @@
   const read = await store.readHead();
   if (read.isErr()) return false;
   const headEpoch = read.value?.head.epoch ?? NO_HEAD_EPOCH;
-  if (copiedHead.mayRestore(headEpoch)) {
-    await restore(parameters, read.value);
+  if (copiedHead.mustRewrite(headEpoch)) {
+    await rewrite(parameters, read.value);
     return true;
   }
   if (!read.value) return true;
@@ -80,10 +81,10 @@
 }
 
 /**
- * Writes the configuration in force again, in place of a head that comes from a
- * copy.
+ * Rewrites a head that comes from a copy of the table with the configuration in
+ * force, and logs this.
  */
-async function restore(
+async function rewrite(
   parameters: {
     currentConfiguration: configurationHolder.ConfigurationHolder;
     store: configurationStore.ConfigurationStore;
@@ -94,7 +95,7 @@
   const { currentConfiguration, logger } = parameters;
   const before = base?.head.revision ?? 0;
   if (
-    !(await restoreConfiguration.restoreConfiguration({ ...parameters, base }))
+    !(await rewriteConfiguration.rewriteConfiguration({ ...parameters, base }))
   )
     return;
   const code = common.EventCode.TableRowsRestored;
--- a/packages/daemon/src/configuration/copied_head_policy_test.ts
+++ b/packages/daemon/src/configuration/copied_head_policy_test.ts
@@ -12,14 +12,19 @@
 }
 
 /**
- * A process with a revision in force, or none, and a table in its second epoch.
+ * A process, and a table that was restored from a copy and so is in epoch 2. A
+ * head written in epoch 1 comes from the copy. `revision` is that of the
+ * configuration in force in the process, 0 if it has none; `behind` says that
+ * another process has a newer one. `sawEpochBegin` says that the process was
+ * running when epoch 2 began. The process is the one whose task it is to
+ * rewrite the head.
  */
 function createScene(
   state: { revision: number; behind?: boolean },
-  sawBegin: boolean,
+  sawEpochBegin: boolean,
 ): Scene {
   const epoch = new backingServices.TableEpoch(new common.RecordingLogger());
-  if (sawBegin) epoch.note("1", common.now());
+  if (sawEpochBegin) epoch.note("1", common.now());
   epoch.note("2", common.now());
   const currentConfiguration = {
     behind: false,
@@ -35,27 +40,28 @@
 
 // Without the wait, the process would serve a replaced configuration until its
 // peers sent it the newer one.
-test("a process without a configuration waits before it adopts a head from a copy", (t) => {
+test("a process without a configuration at first adopts only a head of the current epoch", (t) => {
   const { policy } = createScene({ revision: 0 }, false);
   t.false(policy.mayAdopt(1));
   t.true(policy.mayAdopt(2));
 });
 
-test("a process with a configuration may adopt a head from a copy at once", (t) => {
+test("a process with a configuration may adopt a head of an earlier epoch at once", (t) => {
   const { policy } = createScene({ revision: 7 }, false);
   t.true(policy.mayAdopt(1));
 });
 
-// Such a process has the configuration of the copy in force. Written again, it
-// would replace changes that were accepted after the copy was made.
-test("a process that started in the new epoch does not restore its head at once", (t) => {
+// Such a process may have read its configuration from the copy. If it rewrote
+// the head with that, it would replace changes that were accepted after the
+// copy was made.
+test("a process that started after the epoch began does not rewrite an earlier head at once", (t) => {
   const { policy } = createScene({ revision: 7 }, false);
-  t.false(policy.mayRestore(1));
+  t.false(policy.mustRewrite(1));
 });
 
-test("a process from before the epoch restores its head unless it is behind", (t) => {
-  t.true(createScene({ revision: 7 }, true).policy.mayRestore(1));
-  t.false(createScene({ revision: 7 }, true).policy.mayRestore(2));
+test("a process that saw the epoch begin rewrites only an earlier head, and only with the newest configuration", (t) => {
+  t.true(createScene({ revision: 7 }, true).policy.mustRewrite(1));
+  t.false(createScene({ revision: 7 }, true).policy.mustRewrite(2));
   const behind = createScene({ revision: 7, behind: true }, true);
-  t.false(behind.policy.mayRestore(1));
+  t.false(behind.policy.mustRewrite(1));
 });
--- a/packages/daemon/src/configuration/restore_configuration.ts
+++ b/packages/daemon/src/configuration/rewrite_configuration.ts
@@ -3,13 +3,14 @@
 import type * as configurationStore from "./configuration_store.ts";
 
 /**
- * Writes the configuration in force again, in place of an older head that the
- * table has. So changes stay in force once they are reported to operators as
- * accepted. If an operator changes the older head at the same moment, either
- * that change gets a conflict, or it is committed and all entries adopt it.
- * Returns whether the configuration was written.
+ * Writes the configuration in force to the table as a new revision, in place of
+ * the older head `base` that the table has. So changes stay in force once they
+ * are reported to operators as accepted. If an operator changes the older head
+ * at the same moment, either the operator's change gets a conflict, or it is
+ * committed and all entries adopt it. Returns whether the configuration was
+ * written.
  */
-export async function restoreConfiguration(parameters: {
+export async function rewriteConfiguration(parameters: {
   currentConfiguration: configurationHolder.ConfigurationHolder;
   store: configurationStore.ConfigurationStore;
   base: configurationStore.ReadHead | undefined;
@@ -28,7 +29,10 @@
   return true;
 }
 
-/** Section texts of the table's head; `undefined` if they are unreadable. */
+/**
+ * Section texts of the table's head; `undefined` if the sections cannot be
+ * read.
+ */
 async function textsOf(parameters: {
   currentConfiguration: configurationHolder.ConfigurationHolder;
   store: configurationStore.ConfigurationStore;
