--- a/packages/daemon/src/dispatch/runner_link.ts
+++ b/packages/daemon/src/dispatch/runner_link.ts
@@ -156,7 +156,7 @@
     while (!signal.aborted) {
       const { settings, revision } = this.parameters;
       const dialled = await wire.dial({
-        url: listenModule.linkUrl(this.host.linkUrl),
+        url: listenModule.webSocketLinkUrl(this.host.linkUrl),
         key: settings.processKey,
         timing: settings.timing,
         heartbeat: () => ({ clock: common.now(), revision: revision() }),
--- a/packages/daemon/src/entry/start_entry.ts
+++ b/packages/daemon/src/entry/start_entry.ts
@@ -94,7 +94,7 @@
 
 type Listeners = Record<
   "callers" | "links" | "operators",
-  listenModule.Listening
+  listenModule.OpenListener
 >;
 
 async function openListeners(
@@ -125,7 +125,7 @@
 
 function acceptPeers(
   context: entryContext.EntryContext,
-  listening: listenModule.Listening,
+  listening: listenModule.OpenListener,
 ): void {
   const { settings, keeper, peers, lifeCycle } = context;
   const accepting = wire.acceptLinks({
--- a/packages/daemon/src/main.ts
+++ b/packages/daemon/src/main.ts
@@ -13,7 +13,12 @@
   CannotListen = 3,
 }
 
-/** Runs the daemon until a signal stops it. */
+/**
+ * Starts the daemon by the settings file that the arguments name, and returns
+ * once it has started. A signal stops the daemon later. With `--check`, only
+ * checks the settings. Sets the exit code if the settings are invalid or a
+ * listener cannot be opened.
+ */
 export async function main(argv: string[]): Promise<void> {
   const program = new commander.Command("geraniumkeeld")
     .description("load balancer process of an entry or upstream host")
@@ -29,8 +34,8 @@
   }
   const started = await startProcess.startProcess(settings);
   if (started.isErr()) {
-    const { listener, reason } = started.error;
-    process.stderr.write(`listen.${listener}: ${reason}\n`);
+    const { listenerName, reason } = started.error;
+    process.stderr.write(`cannot open listen.${listenerName}: ${reason}\n`);
     process.exitCode = ExitCode.CannotListen;
     return;
   }
@@ -57,8 +62,9 @@
 }
 
 /**
- * Stops the process on SIGTERM or SIGINT. The first signal drains it; a second
- * one ends it at once and logs the number of requests that are lost.
+ * Stops the process on SIGTERM or SIGINT. At the first signal the process
+ * finishes its accepted work and then stops. At a second one it logs the number
+ * of requests that are lost and exits at once.
  */
 function stopOnSignals(
   running: runningProcess.RunningProcess,
@@ -87,6 +93,7 @@
   logger: common.Logger,
 ): Promise<void> {
   await running.drain();
+  // Names of the resources that did not close in time.
   const late = await running.stop();
   if (late.length > 0) logger.event(common.EventCode.CloseLate, { late });
   process.exit(ExitCode.Success);
--- a/packages/daemon/src/membership/peer_links.ts
+++ b/packages/daemon/src/membership/peer_links.ts
@@ -22,12 +22,14 @@
 const GOSSIP_BATCH_MILLISECONDS = 10;
 /** Time between comparisons of the member table with that of a random peer. */
 const COMPARE_INTERVAL_MILLISECONDS = 30_000;
+/** Time between checks for members that have been suspect for too long. */
 const EXPIRY_CHECK_MILLISECONDS = 250;
-/** Time without use after which an on-demand link is closed. */
+/** Time without use after which this entry closes an on-demand link. */
 const MAX_IDLE_MILLISECONDS = 60_000;
 
 /**
- * Time after which a push is repeated to a peer that still lacks the revision.
+ * Time after which this entry pushes the configuration again to a peer that
+ * still reports an older revision.
  */
 const PUSH_RETRY_MILLISECONDS = 1_000;
 
@@ -60,9 +62,11 @@
 }
 
 /**
- * Links from this entry to its neighbours and, on demand, to any other entry.
- * Over them, entries gossip their member tables, push the configuration, and
- * exchange the messages of other modules.
+ * Links from this entry to its neighbours (see `overlay.ts`) and, on demand, to
+ * any other entry. A peer is an entry that has an open link to this one. Over
+ * the links, entries gossip their member tables, push the configuration, and
+ * exchange the messages of other modules. Gateways use `mesh/entry_mesh.ts`
+ * instead.
  */
 export class PeerLinks {
   readonly #peers = new Map<string, Peer>();
@@ -85,7 +89,7 @@
     });
   }
 
-  /** Hosts that there is a link to now. */
+  /** Names of the hosts that this entry has a link to now. */
   get linked(): string[] {
     return [...this.#peers.keys()];
   }
@@ -95,7 +99,10 @@
     return [...this.#peers.values()].map(({ link }) => link.counts);
   }
 
-  /** Starts dialling, gossip and expiry. */
+  /**
+   * Starts to dial neighbours, to gossip, to send acknowledgements, and to mark
+   * members as departed.
+   */
   start(): void {
     const { lifeCycle, members, settings } = this.parameters;
     lifeCycle.run("reconcile", (signal) => this.#reconcile(signal));
@@ -112,14 +119,14 @@
     this.parameters.lifeCycle.run("peer", () => this.#serve(link));
   }
 
-  /** Sends to one linked peer; returns false if there is no link. */
+  /** Sends a message to a peer; returns false if there is no link to it. */
   send(host: string, message: wire.Message): boolean {
     const peer = this.#peers.get(host);
     peer?.link.send(message);
     return peer !== undefined;
   }
 
-  /** Sends to all linked peers but one. */
+  /** Sends a message to all peers but one. */
   broadcast(message: wire.Message, except?: string): void {
     for (const host of this.#peers.keys()) {
       if (host !== except) this.send(host, message);
@@ -127,8 +134,8 @@
   }
 
   /**
-   * Sends to any entry; opens a link on demand if there is none. Returns false
-   * if the entry cannot be reached within the connect timeout.
+   * Sends a message to any entry; opens a link on demand if there is none.
+   * Returns false if the entry cannot be reached within the connect timeout.
    */
   async sendTo(host: string, message: wire.Message): Promise<boolean> {
     if (this.send(host, message)) return true;
@@ -152,8 +159,8 @@
     const view = this.parameters.currentConfiguration.view;
     if (!peer || !view || peer.revision >= view.head.revision) return;
     const peerRevision = peer.revision;
-    // The peer has every section up to its revision, and needs those that
-    // changed later.
+    // The peer has every section up to its own revision, and needs the sections
+    // that changed later.
     const sections = this.parameters.currentConfiguration
       .sectionsMissingFor({})
       .filter((section) => section.revision > peerRevision);
@@ -202,8 +209,8 @@
   }
 
   /**
-   * Dials a neighbour whenever there is no link to it, and marks it as suspect
-   * if that fails for too long.
+   * Dials a neighbour whenever there is no link to it. Marks the neighbour as
+   * suspect if there was no link for the time `suspectAfter` of the settings.
    */
   async #maintainLink(host: string, signal: AbortSignal): Promise<void> {
     const { settings, members, random } = this.parameters;
@@ -247,7 +254,7 @@
     const baseUrl = member?.peerUrl ?? hosts.hosts.get(host)?.linkUrl;
     if (!baseUrl) return undefined;
     const dialled = await wire.dial({
-      url: listenModule.linkUrl(baseUrl),
+      url: listenModule.webSocketLinkUrl(baseUrl),
       key: settings.processKey,
       timing: settings.timing,
       heartbeat: () => ({
@@ -292,7 +299,8 @@
       this.#noteRevision(host, heartbeat.revision);
     logger.event(common.EventCode.LinkEstablished, { peer: host });
     this.#linksChanged.announce();
-    // A process that starts knows no other entry, and no entry knows it.
+    // A process that just started knows no other entry, and no other entry
+    // knows it, so each side sends its own record at once.
     link.send({ kind: wire.MessageKind.Members, members: [members.self] });
     this.#compareMembers(link);
     this.#pushTo(host);
@@ -333,8 +341,9 @@
       const kind = wire.MessageKind.ConfigurationRequest;
       peer?.link.send({ kind, held: currentConfiguration.sectionRevisions() });
     } else if (revision < currentConfiguration.revision && peer) {
-      // A heartbeat with an old revision may have crossed the last push. If it
-      // comes later than that, the push had no effect and is repeated.
+      // The peer may have sent this heartbeat before it received the last push.
+      // If the heartbeat comes `PUSH_RETRY_MILLISECONDS` after the push or
+      // later, the push had no effect, and this entry repeats it.
       const age = common.now() - peer.pushedAt;
       if (age > PUSH_RETRY_MILLISECONDS) peer.revision = revision;
       this.#pushTo(host);
@@ -386,9 +395,10 @@
   }
 
   /**
-   * Sends a peer the digest of the member table, so that it sends its members
-   * if they differ. This repairs what gossip missed. Sending all members in
-   * place of a digest would use a tenth of a node's budget at 330 entries.
+   * Sends a peer the digest of the member table. If the peer's digest differs,
+   * the peer answers with all its records, so that this process gets records
+   * that gossip missed. Sending all records in place of a digest would use a
+   * tenth of a node's budget at 330 entries.
    */
   #compareMembers(link: wire.Link): void {
     const { digest } = this.parameters.members;
--- a/packages/daemon/src/mod.ts
+++ b/packages/daemon/src/mod.ts
@@ -1,3 +1,9 @@
+/**
+ * Exports of the package under its plain name: the start of entry and upstream
+ * processes, their settings, and parts that move a group to a new expert map.
+ * `forwarding_mod.ts` is a separate set of exports, for processes that do not
+ * start the daemon's servers.
+ */
 export * from "./entry/start_entry.ts";
 export * from "./expert_map/group_term.ts";
 export * from "./expert_map/order_gate.ts";
--- a/packages/daemon/src/running_process.ts
+++ b/packages/daemon/src/running_process.ts
@@ -10,6 +10,9 @@
   unfinished: () => number;
   /** Refuses new work; resolves when the accepted work is finished. */
   drain: () => Promise<void>;
-  /** Closes all resources; resolves to the names of those that closed late. */
+  /**
+   * Closes all resources; resolves to the names of those that did not close in
+   * time.
+   */
   stop: () => Promise<string[]>;
 }
--- a/packages/daemon/src/settings/listen.ts
+++ b/packages/daemon/src/settings/listen.ts
@@ -8,20 +8,25 @@
 /** A listener that could not be opened. */
 export interface ListenFailure {
   kind: "listen-failure";
-  listener: string;
+  /** Key of the listener under `listen` in the settings. */
+  listenerName: string;
   reason: string;
 }
 
-/** An open listener. */
-export interface Listening {
+/** The open server of a listener. */
+export interface OpenListener {
   server: http.Server;
-  /** Base URL, with the port that the listener uses if port 0 was given. */
+  /**
+   * Base URL, with the port that the server listens on. If the settings give
+   * port 0, the system has chosen this port.
+   */
   url: string;
   port: number;
 }
 
 /**
- * Opens a listener, which the life-cycle closes. Fails if its certificate
+ * Opens the HTTP or HTTPS server of a listener. The life-cycle closes the
+ * server later. Returns a failure if the listener's certificate or private key
  * cannot be read or its address cannot be used.
  */
 export async function listen(parameters: {
@@ -29,26 +34,31 @@
   listener: settings.Listener;
   handler?: http.RequestListener;
   lifeCycle: common.LifeCycle;
-}): Promise<neverthrow.Result<Listening, ListenFailure>> {
+}): Promise<neverthrow.Result<OpenListener, ListenFailure>> {
   const { listener, name, handler } = parameters;
   const server = createServer(listener);
   if (server.isErr()) return neverthrow.err(failure(name, server.error));
-  const opened = server.value;
-  if (handler) opened.on("request", handler);
+  const httpServer = server.value;
+  if (handler) httpServer.on("request", handler);
   const reason = await new Promise<string | undefined>((resolve) => {
-    opened.once("error", (cause) => resolve(cause.message));
-    opened.listen(listener.port, listener.address, () => resolve(undefined));
+    httpServer.once("error", (cause) => resolve(cause.message));
+    httpServer.listen(listener.port, listener.address, () =>
+      resolve(undefined),
+    );
   });
   if (reason !== undefined) return neverthrow.err(failure(name, reason));
-  parameters.lifeCycle.own({ name, close: () => closeServer(opened) });
-  const address = opened.address() as { port: number };
+  parameters.lifeCycle.own({ name, close: () => closeServer(httpServer) });
+  const address = httpServer.address() as { port: number };
   const scheme = listener.tls ? "https" : "http";
   const url = `${scheme}://${listener.address}:${address.port}`;
-  return neverthrow.ok({ server: opened, url, port: address.port });
+  return neverthrow.ok({ server: httpServer, url, port: address.port });
 }
 
-/** Returns the WebSocket URL for links to a process with an HTTP base URL. */
-export function linkUrl(base: string): string {
+/**
+ * Returns the WebSocket URL at which a process accepts links, by the base URL
+ * (http or https) of its listener for links.
+ */
+export function webSocketLinkUrl(base: string): string {
   return base.replace(/^http/, "ws") + LINK_PATH;
 }
 
@@ -68,8 +78,8 @@
   }
 }
 
-function failure(listener: string, reason: string): ListenFailure {
-  return { kind: "listen-failure", listener, reason };
+function failure(listenerName: string, reason: string): ListenFailure {
+  return { kind: "listen-failure", listenerName, reason };
 }
 
 function closeServer(server: http.Server): Promise<void> {
--- a/packages/daemon/src/settings/listen_test.ts
+++ b/packages/daemon/src/settings/listen_test.ts
@@ -20,7 +20,7 @@
   return { address: "127.0.0.1", port: 0, tls: { certificateFile, keyFile } };
 }
 
-test("a listener with TLS serves HTTPS and links", async (t) => {
+test("a listener with TLS serves HTTPS, and accepts links if the certificate is trusted and the key right", async (t) => {
   const lifeCycle = new common.LifeCycle("test");
   const opened = await listenModule.listen({
     name: "links",
@@ -46,7 +46,7 @@
   t.is(await answer.body.text(), "hello");
   const dial = (key: string, certificateAuthority?: string) =>
     wire.dial({
-      url: listenModule.linkUrl(base),
+      url: listenModule.webSocketLinkUrl(base),
       key,
       timing: TIMING,
       heartbeat,
@@ -66,19 +66,19 @@
   await dispatcher.destroy();
 });
 
-test("the failure of a listener without its certificate file names the listener", async (t) => {
+test("if a listener's certificate file does not exist, the failure contains the listener's name", async (t) => {
   const listener = tlsListener();
   const opened = await listenModule.listen({
     name: "callers",
     listener: { ...listener, tls: { certificateFile: "/none", keyFile } },
     lifeCycle: new common.LifeCycle("test"),
   });
-  t.is(opened.isErr() && opened.error.listener, "callers");
+  t.is(opened.isErr() && opened.error.listenerName, "callers");
 });
 
 test("a listener without TLS must use a loopback address", (t) => {
-  const open = settings.LISTENER.safeParse({ address: "0.0.0.0", port: 80 });
-  t.false(open.success);
-  t.regex(open.error?.issues[0].message ?? "", /give tls/);
+  const parsed = settings.LISTENER.safeParse({ address: "0.0.0.0", port: 80 });
+  t.false(parsed.success);
+  t.regex(parsed.error?.issues[0].message ?? "", /give tls/);
   t.true(settings.LISTENER.safeParse({ port: 80 }).success);
 });
--- a/packages/daemon/src/start_process.ts
+++ b/packages/daemon/src/start_process.ts
@@ -35,8 +35,8 @@
 }
 
 /**
- * Returns a recorder that appends events to a file, or to nothing without a
- * file.
+ * Returns a recorder that appends each event to a file as a line of JSON. If no
+ * file is given, the recorder discards the events.
  */
 function openHistory(file: string | undefined): common.HistoryRecorder {
   if (file === undefined) return common.noHistory();
