--- a/packages/daemon/src/membership/host_view.ts
+++ b/packages/daemon/src/membership/host_view.ts
@@ -2,24 +2,30 @@
 import * as backingServices from "@geraniumkeel/backing_services";
 
 /**
- * Average bytes a second that reading the list may use while the list changes.
- * The list of a large deployment is long, and gossip and links usually report
- * its changes sooner.
+ * Largest average of bytes a second that this process reads of the host list
+ * while the list changes. In a large deployment the list is long, so this
+ * process reads it less often. Gossip and links usually report changes of hosts
+ * sooner than the list does.
  */
 const READ_BYTES_PER_SECOND = 6_000;
 
 /**
- * The platform's list of hosts, as this process last read it. The list lags
- * behind the hosts' real state. While the platform is unavailable, the last
- * list stays.
+ * The list of hosts, as this process last read it from the platform: the HTTP
+ * service that lists the deployment's hosts and stores the table and the
+ * objects. The list lags behind the hosts' real state. While the platform is
+ * unavailable, this process uses the list that it last read.
  */
 export class HostView {
+  /** Announces that a host appeared in the list, changed or disappeared. */
   readonly changed = new common.ChangeNotice();
   #hosts = new Map<string, backingServices.Host>();
   readonly #appearedAt = new Map<string, number>();
   #available = true;
-  /** Size of the list as last read, in bytes; 0 if it had not changed. */
-  #bytes = 0;
+  /**
+   * Bytes of the list that the last read transferred; 0 if the platform
+   * answered that the list had not changed since the read before.
+   */
+  #lastReadBytes = 0;
   /** When the platform last answered. */
   lastReadAt = -Infinity;
 
@@ -37,15 +43,15 @@
   }
 
   /**
-   * When this process first read a host in the list. A host that disappeared
-   * from the list and came back counts from its return; -Infinity if it is not
-   * listed.
+   * When a host appeared in the list, by the reads of this process. If the host
+   * disappeared from the list and appeared again, this is the later time.
+   * -Infinity if the host is not in the list.
    */
   appearedAt(name: string): number {
     return this.#appearedAt.get(name) ?? -Infinity;
   }
 
-  /** Listed hosts that have a role. */
+  /** Listed hosts that have the given role. */
   withRole(role: backingServices.HostRole): backingServices.Host[] {
     return [...this.#hosts.values()].filter((host) => host.role === role);
   }
@@ -54,7 +60,8 @@
   async run(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
       await this.refresh();
-      const minimumPeriod = (this.#bytes * 1_000) / READ_BYTES_PER_SECOND;
+      const minimumPeriod =
+        (this.#lastReadBytes * 1_000) / READ_BYTES_PER_SECOND;
       const period = Math.max(
         this.parameters.periodMilliseconds,
         minimumPeriod,
@@ -63,7 +70,7 @@
     }
   }
 
-  /** Reads the list once. If that fails, the list last read stays. */
+  /** Reads the list once. If that fails, the list last read stays in use. */
   async refresh(): Promise<void> {
     const { hostList, logger } = this.parameters;
     const read = await hostList.read();
@@ -78,11 +85,11 @@
     this.#available = true;
     this.lastReadAt = common.now();
     if (!read.value.changed) {
-      this.#bytes = 0;
+      this.#lastReadBytes = 0;
       return;
     }
     const { hosts, bytes } = read.value;
-    this.#bytes = bytes;
+    this.#lastReadBytes = bytes;
     this.#replace(new Map(hosts.map((host) => [host.name, host])));
   }
 
@@ -90,19 +97,19 @@
     const { logger } = this.parameters;
     const before = this.#hosts;
     this.#hosts = hosts;
-    let changed = false;
+    let hasChanged = false;
     for (const [name, host] of hosts) {
       const known = before.get(name);
       if (!known) this.#recordAppearance(name);
-      if (JSON.stringify(known) !== JSON.stringify(host)) changed = true;
+      if (JSON.stringify(known) !== JSON.stringify(host)) hasChanged = true;
     }
     for (const name of before.keys()) {
       if (hosts.has(name)) continue;
       this.#appearedAt.delete(name);
       logger.event(common.EventCode.HostDisappeared, { peer: name });
-      changed = true;
+      hasChanged = true;
     }
-    if (changed) this.changed.announce();
+    if (hasChanged) this.changed.announce();
   }
 
   #recordAppearance(name: string): void {
--- a/packages/daemon/src/membership/in_force_acks.ts
+++ b/packages/daemon/src/membership/in_force_acks.ts
@@ -8,7 +8,7 @@
 /** What `InForceAcks` is created with. */
 export interface InForceAcksParameters {
   members: memberTable.MemberTable;
-  /** Hosts that this entry has a link to. */
+  /** Names of the hosts that this entry has a link to. */
   linked: () => string[];
   /** Sends a message to a linked host; false if there is no link. */
   send: (host: string, message: wire.Message) => boolean;
@@ -16,11 +16,11 @@
 
 /**
  * Acknowledges that a revision of the configuration is in force.
- * Acknowledgements go back along the path of the push: each entry sends its
- * own, and those that it receives, to its parent, the entry that pushed the
+ * Acknowledgements are sent back along the path of the push: each entry sends
+ * its own, and those that it receives, to its parent, the entry that pushed the
  * revision to it. So an acknowledgement crosses as many links as the push did.
- * If every entry sent its new revision to all others instead, each change would
- * cost 181 KB at each of 60 entries.
+ * If every entry sent its new revision to all others instead, each of 60
+ * entries would transfer 181 KB per change.
  */
 export class InForceAcks {
   readonly #changed = new common.ChangeNotice();
@@ -53,8 +53,9 @@
   }
 
   /**
-   * Records that a host has a revision in force, and queues the
-   * acknowledgement.
+   * Records that a host has a revision in force. If this is new, and the
+   * revision is not older than the last one given to `begin`, queues the
+   * acknowledgement for the parent.
    */
   confirm(host: string, revision: number): void {
     const isNew = this.parameters.members.learnRevision(host, revision);
@@ -73,8 +74,8 @@
   }
 
   /**
-   * Makes a host that pushes the current revision the parent of an entry that
-   * had read this revision from the store.
+   * Makes a host the parent that pushed the current revision to this entry, if
+   * this entry had no parent because it read the revision from the store.
    */
   #adoptParent(revision: number, parent: string | undefined): void {
     if (revision !== this.#revision || parent === undefined) return;
@@ -102,8 +103,9 @@
       this.#unsent.clear();
       return;
     }
-    // The link to the parent is lost. Any neighbour can forward the
-    // acknowledgements to the entry that waits for them.
+    // The link to the parent is lost, so the first linked entry becomes the
+    // parent. Any neighbour can forward the acknowledgements to the entry that
+    // waits for them.
     this.#parent = this.parameters.linked()[0];
   }
 }
--- a/packages/daemon/src/membership/member_table.ts
+++ b/packages/daemon/src/membership/member_table.ts
@@ -11,12 +11,16 @@
 }
 
 /**
- * The entries of the deployment, as this process knows them by gossip. Only a
- * member itself raises the counter of its record; other members may only change
- * its state for the worse at the same counter. So a late message about a member
- * never overrides a newer record that the member itself has sent.
+ * The entries of the deployment, the members, as this process knows them by
+ * gossip. Of two records of a member the one with the higher counter is newer;
+ * at equal counters, the one with the worse state. Only a member itself raises
+ * the counter of its record; others may only change its state for the worse at
+ * the same counter. So a late message about a member never overrides a newer
+ * record that the member itself has sent. The `revision` in a record is that of
+ * the configuration in force at the member, and does not make a record newer.
  */
 export class MemberTable {
+  /** Announces that a record changed. */
   readonly changed = new common.ChangeNotice();
   readonly #records = new Map<string, StoredRecord>();
   /** Hosts whose record changed since the last call of `takeChanges`. */
@@ -31,9 +35,10 @@
     this.#self = {
       ...self,
       state: wire.MemberState.Alive,
-      // The record of a new process must outrank that of an earlier process on
-      // the same host. The wall-clock time nearly always ensures this. If the
-      // clock was set back, `merge` raises the counter.
+      // The record of a new process must be newer than that of an earlier
+      // process on the same host. A counter that starts at the wall-clock time
+      // nearly always ensures this. If the clock was set back, `merge` raises
+      // the counter.
       counter: wallClock(),
       revision: 0,
       weight: 1,
@@ -53,7 +58,9 @@
 
   /** Members that have not departed, including this process. */
   get present(): wire.Member[] {
-    return this.all.filter((member) => member.state !== wire.MemberState.Gone);
+    return this.all.filter(
+      (member) => member.state !== wire.MemberState.Departed,
+    );
   }
 
   /** Members that accept work, including this process unless it drains. */
@@ -88,9 +95,10 @@
   }
 
   /**
-   * Records the revision in force here. The change alone is not gossiped: it
-   * goes out with the record's next change, and acknowledgements report the
-   * revision to those that wait for it.
+   * Records the revision of the configuration that is in force in this process.
+   * This process does not gossip the change by itself: it sends the revision
+   * with the record's next other change. Acknowledgements report the revision
+   * to the entries that wait for it.
    */
   noteRevision(revision: number): void {
     this.#self = { ...this.#self, revision };
@@ -102,8 +110,8 @@
   }
 
   /**
-   * Records a member's revision; returns whether it is higher than the known
-   * one.
+   * Records the revision of the configuration that a member has in force;
+   * returns whether it is higher than the known one.
    */
   learnRevision(host: string, revision: number): boolean {
     const record = this.#records.get(host);
@@ -140,8 +148,8 @@
   }
 
   /**
-   * Marks members as departed that have been suspect for the given time, and
-   * deletes departed members after their retention period.
+   * Marks members as departed that have been suspect for the given duration,
+   * and deletes departed members after their retention period.
    */
   expire(departedAfterMilliseconds: number): void {
     const now = this.clock();
@@ -149,8 +157,8 @@
       const age = now - changedAt;
       if (member.state === wire.MemberState.Suspect) {
         if (age < departedAfterMilliseconds) continue;
-        this.#set({ ...member, state: wire.MemberState.Gone });
-      } else if (member.state === wire.MemberState.Gone) {
+        this.#set({ ...member, state: wire.MemberState.Departed });
+      } else if (member.state === wire.MemberState.Departed) {
         if (age > DEPARTED_RETENTION_MILLISECONDS) this.#records.delete(host);
       }
     }
@@ -166,8 +174,10 @@
   }
 
   /**
-   * Raises this process's own counter above a record about it that differs from
-   * its own, so that its own record prevails. Returns whether it did.
+   * Makes this process's own record newer than a received record about this
+   * process that has another state, counter or incarnation. To do so, raises
+   * the own counter above the received one. Returns whether the own counter was
+   * raised.
    */
   #refuteRecord(received: wire.Member): boolean {
     if (received.counter < this.#self.counter) return false;
--- a/packages/daemon/src/operator/in_force_report.ts
+++ b/packages/daemon/src/operator/in_force_report.ts
@@ -43,14 +43,14 @@
   const states = new Map<string, wire.MemberState>();
   for (const member of members) {
     states.set(member.host, member.state);
-    if (member.state === wire.MemberState.Gone) continue;
+    if (member.state === wire.MemberState.Departed) continue;
     if (member.revision >= revision) inForce.push(member.host);
     else notReached.push(member.host);
   }
   for (const { name, appearedAt } of listed ?? []) {
     const state = states.get(name);
     const starting = now - appearedAt < parameters.goneAfterMilliseconds;
-    if (state === wire.MemberState.Gone) unheard.push(name);
+    if (state === wire.MemberState.Departed) unheard.push(name);
     else if (state !== undefined) continue;
     else if (starting) notReached.push(name);
     else unheard.push(name);
--- a/packages/daemon/src/operator/in_force_report_test.ts
+++ b/packages/daemon/src/operator/in_force_report_test.ts
@@ -52,7 +52,7 @@
   const late = report({ listed, now: GONE_AFTER });
   t.true(late.everywhere);
   t.deepEqual(late.unheard, ["two"]);
-  const gone = member({ host: "two", state: wire.MemberState.Gone });
+  const gone = member({ host: "two", state: wire.MemberState.Departed });
   t.deepEqual(report({ listed, members: [member({}), gone] }).unheard, ["two"]);
 });
 
--- a/packages/wire/src/member.ts
+++ b/packages/wire/src/member.ts
@@ -3,7 +3,7 @@
   Alive = 1,
   Draining = 2,
   Suspect = 3,
-  Gone = 4,
+  Departed = 4,
 }
 
 /** An entry as known by its peers. A higher `counter` is newer. */
