--- a/packages/daemon/src/gateway/gateway.ts
+++ b/packages/daemon/src/gateway/gateway.ts
@@ -176,7 +176,7 @@
       currentVersion: () => this.configuration.version,
       latestReading: () => this.#latestReading,
       lowestServedVersion: () => this.#lowestServedVersion(),
-      isConfirmer: () => this.mesh.followPlace() === 0,
+      isConfirmer: () => this.mesh.pollPosition() === 0,
       logger,
     });
   }
@@ -336,7 +336,7 @@
    */
   #lowestServedVersion(): number | undefined {
     const versions = this.mesh
-      .peers()
+      .known()
       .flatMap(({ beat }) => (beat?.ready ? [beat.configuration.version] : []));
     return versions.length > 0 ? Math.min(...versions) : undefined;
   }
@@ -365,7 +365,7 @@
    * poll the store; 0 if this entry is one that polls.
    */
   #restBelowAge(): number {
-    const index = this.mesh.followPlace() - STORE_POLLERS;
+    const index = this.mesh.pollPosition() - STORE_POLLERS;
     if (index < 0) return 0;
     return FALLBACK_AGE_MILLISECONDS + index * FALLBACK_STAGGER_MILLISECONDS;
   }
--- a/packages/daemon/src/gateway/operator_view.ts
+++ b/packages/daemon/src/gateway/operator_view.ts
@@ -131,7 +131,7 @@
     state: stateOf(gateway.ready, gateway.stopping),
     revision: gateway.configuration.version,
   };
-  const others = gateway.mesh.peers().map(({ member, beat }): EntryView => {
+  const others = gateway.mesh.known().map(({ member, beat }): EntryView => {
     const { host, dataCentre } = member;
     const state = beat
       ? stateOf(beat.ready, beat.leaving)
--- a/packages/daemon/src/mesh/document_exchange.ts
+++ b/packages/daemon/src/mesh/document_exchange.ts
@@ -5,7 +5,8 @@
 import type * as heartbeatClockModule from "./heartbeat_clock.ts";
 
 /**
- * Time after which a document is pushed again to a peer that still lacks it.
+ * Time after which an entry pushes a document again to a peer that still
+ * reports an older version.
  */
 const PUSH_RETRY_MILLISECONDS = 400;
 
--- a/packages/daemon/src/mesh/entry_mesh.ts
+++ b/packages/daemon/src/mesh/entry_mesh.ts
@@ -9,11 +9,18 @@
 import * as meshPeer from "./mesh_peer.ts";
 import * as heartbeatClockModule from "./heartbeat_clock.ts";
 
-/** Time between two heartbeats; request counts of peers lag by this much. */
+/**
+ * Time between two mesh heartbeats. This entry's counts of the requests under
+ * way from its peers lag by this much.
+ */
 const HEARTBEAT_INTERVAL_MILLISECONDS = 300;
-/** Age of its last heartbeat at which an entry counts as unreachable. */
+/** Age of the last mesh heartbeat from which on an entry is unreachable. */
 const MAX_HEARTBEAT_AGE_MILLISECONDS = 1_000;
-/** Timing of links between entries and between ranks, in milliseconds. */
+/**
+ * Timing of mesh links and of links between ranks (`rank_group/`), in
+ * milliseconds. `heartbeat` is here the interval of the link's own heartbeats
+ * (see `emptyHeartbeat`), not that of mesh heartbeats.
+ */
 export const LINK_TIMING: wire.LinkTiming = {
   heartbeat: 500,
   silentAfter: 1_500,
@@ -23,15 +30,17 @@
 const MIN_PAUSE_MILLISECONDS = 100;
 const MAX_PAUSE_MILLISECONDS = 1_000;
 /**
- * Delay before the entry with the later name dials. Normally the other entry
- * has dialled by then; without the delay both would dial at the same moment.
+ * Delay before an entry dials another one that has normally linked to it by
+ * then. Of two entries, the one with the later name waits; without the delay
+ * both would dial at the same moment. An entry that starts also waits before it
+ * dials the seeds.
  */
-const SECOND_DIALLER_DELAY_MILLISECONDS = 400;
-/** Time without a message after which an entry counts as departed. */
-const FORGET_AFTER_MILLISECONDS = 60_000;
+const DIAL_DELAY_MILLISECONDS = 400;
+/** Time without a message from an entry after which it counts as departed. */
+const DEPARTED_AFTER_MILLISECONDS = 60_000;
 /**
- * How often this entry checks for a new epoch of the table, if none is
- * announced.
+ * Time between checks for a new epoch of the table, in addition to the check at
+ * each announcement of one.
  */
 const EPOCH_CHECK_MILLISECONDS = 5_000;
 /**
@@ -39,9 +48,11 @@
  */
 const REGISTER_RETRY_MILLISECONDS = 500;
 /**
- * Key that processes of one deployment present when they open a link. It is no
- * secret, because the hosts' settings contain none: it keeps out processes that
- * connect by mistake, not attackers.
+ * Key that a process presents when it opens a mesh link or a link between
+ * ranks. The key is a constant of the program and not a secret, because the
+ * settings of the hosts that use these links contain no secret. It keeps out
+ * processes that connect by mistake, not attackers. Links of `membership/` and
+ * `dispatch/` use the secret `processKey` of the settings instead.
  */
 export const LINK_KEY = "geraniumkeel";
 
@@ -50,13 +61,19 @@
   self: wire.MeshMember;
   incarnation: string;
   rows: memberRows.MemberRows;
-  /** Addresses of other entries, for when the store is unavailable. */
+  /**
+   * Addresses of entries that this one dials until it has a configuration, for
+   * a start while the store is unavailable.
+   */
   seeds: { address: string; port: number }[];
   configuration: traffic.ProvenValue<traffic.TrafficConfiguration>;
   runners: traffic.ProvenValue<traffic.RunnerList>;
   /** Whether callers may be sent to this entry. */
   ready: () => boolean;
-  /** Whether the store answered this entry's latest call. */
+  /**
+   * Whether the store (the table service, which contains the table) answered
+   * this entry's latest call.
+   */
   storeReachable: () => boolean;
   /** Requests under way from this entry, by runner. */
   outstanding: () => [string, number][];
@@ -68,7 +85,10 @@
     host: string,
     counts: Map<string, number> | undefined,
   ) => void;
-  /** Exchange of suspicions: requests that may have crashed their runners. */
+  /**
+   * Exchange of suspicions: statements that a request may have crashed its
+   * runner. They are not the suspicions about members in `membership/`.
+   */
   suspicions: {
     receive: (message: wire.Suspicions, host: string) => void;
     /**
@@ -81,32 +101,52 @@
   lifeCycle: common.LifeCycle;
 }
 
-/** Another entry that this one knows of, linked or not. */
-interface KnownMember {
+/**
+ * Another entry that this one knows of, linked or not. `member` is the record
+ * by which entries describe an entry to each other: its name and addresses.
+ */
+interface KnownEntry {
   member: wire.MeshMember;
-  /** When its last message came; before the first, when it became known. */
+  /**
+   * When this process last received a message from the entry. Before the first
+   * message, when the entry became known.
+   */
   lastReceivedAt: number;
-  /** Revision of its row; `undefined` if it was not read from the store. */
+  /**
+   * Revision of the entry's row; `undefined` if this process has not read the
+   * row from the store.
+   */
   revision: backingServices.Revision | undefined;
-  /** Stops the task that dials it. */
+  /** Stops the task that dials the entry. */
   dialling: AbortController;
 }
 
 /**
  * Links from this entry to all others. Over them, entries exchange whether they
- * are ready, their requests under way at runners, suspicions, newer documents
- * and the proofs of these. So an entry that cannot reach the store, or that
- * leaves reading it to others, still has the newest documents.
+ * are ready, their requests under way at runners, suspicions, and the
+ * documents: the configuration and the list of runners (see
+ * `DocumentExchange`). An entry sends a document to a peer that has an older
+ * version, and sends proofs that its own version is the newest. So an entry
+ * that cannot reach the store, or that leaves reading it to others, still has
+ * the newest documents.
+ *
+ * A known entry is one whose row this entry has read from the store, that has
+ * linked to this entry, or that a peer has named. A peer is a known entry that
+ * has a link to this one. Gateways use this class; other entries use
+ * `membership/peer_links.ts` and `membership/member_table.ts` instead.
  */
 export class EntryMesh {
-  readonly #known = new Map<string, KnownMember>();
+  readonly #known = new Map<string, KnownEntry>();
   readonly #linked = new Map<string, meshPeer.MeshPeer>();
   readonly #heartbeatClock = new heartbeatClockModule.HeartbeatClock();
   readonly #documents: documentExchange.DocumentExchange;
   /** Announces that a link opened or closed. */
   readonly #linksChanged = new common.ChangeNotice();
   #leaving = false;
-  /** Revision of this entry's row, once it is certain to be written. */
+  /**
+   * Revision of this entry's row; `undefined` while this process does not know
+   * for certain that the row was written in the current epoch of the table.
+   */
   #ownRevision: backingServices.Revision | undefined;
 
   constructor(readonly parameters: EntryMeshParameters) {
@@ -156,8 +196,8 @@
   }
 
   /**
-   * All known entries, ready or not, except those that announced that they
-   * leave.
+   * All known entries and this one, ready or not. An entry that announced that
+   * it leaves is not included.
    */
   knownMembers(): wire.MeshMember[] {
     const { self } = this.parameters;
@@ -167,9 +207,10 @@
   }
 
   /**
-   * All other known entries, each with its last heartbeat if it is reachable.
+   * All known entries, linked or not, without this one. `beat` is the last
+   * heartbeat of the entry if the entry is reachable.
    */
-  peers(): { member: wire.MeshMember; beat: wire.MeshHeartbeat | undefined }[] {
+  known(): { member: wire.MeshMember; beat: wire.MeshHeartbeat | undefined }[] {
     return [...this.#known.values()].map(({ member }) => {
       const peer = this.#linked.get(member.host);
       const heartbeat =
@@ -184,30 +225,34 @@
   }
 
   /**
-   * Position of this entry among the reachable entries that reach the store, in
-   * an order that all entries agree on; 0 is the first. The first entries poll
-   * the store on behalf of all. An entry that does not reach the store comes
-   * last.
+   * Position of this entry, from 0, in the order in which entries poll the
+   * store: the first few poll it on behalf of all. The order contains the
+   * reachable entries that reach the store, and is the same at all entries that
+   * know the same ones. An entry that does not reach the store itself is not in
+   * the order; its position is the number of the entries that are.
    */
-  followPlace(): number {
+  pollPosition(): number {
     const { self, storeReachable } = this.parameters;
     const hosts = storeReachable() ? [self.host] : [];
     for (const peer of this.#linked.values()) {
       if (!this.#isReachable(peer) || !peer.heartbeat?.storeReachable) continue;
       if (!peer.heartbeat.leaving) hosts.push(peer.member.host);
     }
-    const place = common.rendezvousOrder("follow", hosts).indexOf(self.host);
-    return place < 0 ? hosts.length : place;
+    const position = common.rendezvousOrder("follow", hosts).indexOf(self.host);
+    return position < 0 ? hosts.length : position;
   }
 
-  /** Sends a message to all linked entries but one. */
+  /** Sends a message to all peers but one. */
   broadcast(message: wire.Message, except?: string): void {
     for (const [host, peer] of this.#linked) {
       if (host !== except) peer.link.send(message);
     }
   }
 
-  /** Notifies the other entries at once that this process stops. */
+  /**
+   * Notifies the peers at once that this process stops, and removes this
+   * entry's row from the table.
+   */
   async leave(): Promise<void> {
     const { rows, self } = this.parameters;
     this.#leaving = true;
@@ -215,7 +260,10 @@
     if (this.#ownRevision) await rows.remove(self.host, this.#ownRevision);
   }
 
-  /** The mesh's part of the state dump. */
+  /**
+   * The mesh's part of the state dump. `followPlace` is the position in the
+   * order of polling, `silence` the milliseconds since the last heartbeat.
+   */
   describe(): unknown {
     return {
       known: [...this.#known.keys()],
@@ -224,7 +272,7 @@
         silence: Math.round(peer.heartbeatAge),
         beat: peer.heartbeat,
       })),
-      followPlace: this.followPlace(),
+      followPlace: this.pollPosition(),
     };
   }
 
@@ -233,9 +281,10 @@
   }
 
   /**
-   * Writes this entry's row and reads those of the others: at the start, and
-   * again in each new epoch of the table. An epoch begins when the table is
-   * restored from a copy, which may lack the row.
+   * Writes this entry's row to the table and reads the rows of the other
+   * entries: at the start, and again in each new epoch of the table. An epoch
+   * begins when the table is restored from a copy, which may lack this entry's
+   * row.
    */
   async #register(signal: AbortSignal): Promise<void> {
     const { rows, self } = this.parameters;
@@ -247,31 +296,34 @@
         continue;
       }
       for (const { member, revision } of read?.unwrapOr([]) ?? []) {
-        this.#noteMember(member, revision);
+        this.#noteEntry(member, revision);
       }
       await this.#nextEpoch(signal);
       this.#ownRevision = undefined;
     }
   }
 
-  /** Resolves when the table's epoch is no longer that of this entry's row. */
+  /**
+   * Resolves when the table has another epoch than the one in which this
+   * entry's row was written. The revision of a row names that epoch.
+   */
   async #nextEpoch(signal: AbortSignal): Promise<void> {
     const { epoch } = this.parameters.rows;
-    const isOver = () => this.#ownRevision?.epoch !== epoch.number;
-    while (!signal.aborted && !isOver()) {
+    const hasNewEpoch = () => this.#ownRevision?.epoch !== epoch.number;
+    while (!signal.aborted && !hasNewEpoch()) {
       await epoch.began.next(EPOCH_CHECK_MILLISECONDS, signal);
     }
   }
 
   /**
-   * Dials each seed until this process has a configuration. Normally it finds
-   * the other entries in the store first; a process that starts while the store
-   * is unavailable finds them only through the seeds.
+   * Dials each seed until this process has a configuration. Normally this
+   * process finds the other entries in the store first; a process that starts
+   * while the store is unavailable finds them only through the seeds.
    */
   async #dialSeeds(signal: AbortSignal): Promise<void> {
     const { seeds, self } = this.parameters;
     const others = seeds.filter(({ address }) => address !== self.address);
-    await common.sleep(SECOND_DIALLER_DELAY_MILLISECONDS, signal);
+    await common.sleep(DIAL_DELAY_MILLISECONDS, signal);
     while (!signal.aborted && !this.parameters.configuration.value) {
       for (const { address, port } of others) {
         const linked = [...this.#linked.values()].some(
@@ -286,8 +338,11 @@
     }
   }
 
-  /** Adds an entry to the known ones and starts to dial it, or updates it. */
-  #noteMember(
+  /**
+   * Adds an entry to the known ones and starts to dial it. If the entry is
+   * known already, updates its record.
+   */
+  #noteEntry(
     member: wire.MeshMember,
     revision: backingServices.Revision | undefined,
   ): void {
@@ -316,7 +371,11 @@
     );
   }
 
-  #forget(host: string): void {
+  /**
+   * Removes an entry that has departed from the known ones. The logged event is
+   * the same as for a host that disappears from the platform's list.
+   */
+  #removeDeparted(host: string): void {
     const { logger } = this.parameters;
     const known = this.#known.get(host);
     if (!known) return;
@@ -326,8 +385,9 @@
   }
 
   /**
-   * Dials an entry whenever there is no link to it. Without a message for
-   * `FORGET_AFTER_MILLISECONDS`, forgets the entry and removes its row.
+   * Dials an entry whenever there is no link to it. If no message came from the
+   * entry for `DEPARTED_AFTER_MILLISECONDS`, removes it from the known entries
+   * and its row from the table.
    */
   async #maintainLink(host: string, signal: AbortSignal): Promise<void> {
     const { self, random, rows } = this.parameters;
@@ -344,14 +404,14 @@
         await this.#linksChanged.next(MAX_PAUSE_MILLISECONDS, signal);
         continue;
       }
-      if (common.now() - known.lastReceivedAt > FORGET_AFTER_MILLISECONDS) {
-        this.#forget(host);
+      if (common.now() - known.lastReceivedAt > DEPARTED_AFTER_MILLISECONDS) {
+        this.#removeDeparted(host);
         if (known.revision) await rows.remove(host, known.revision);
         return;
       }
       const pause = backOff.pause();
-      const later = self.host < host ? 0 : SECOND_DIALLER_DELAY_MILLISECONDS;
-      await common.sleep(pause + later, signal);
+      const secondDiallerDelay = self.host < host ? 0 : DIAL_DELAY_MILLISECONDS;
+      await common.sleep(pause + secondDiallerDelay, signal);
       if (signal.aborted || this.#linked.get(host)?.open) continue;
       const { address, linkPort } = known.member;
       await this.#dialOnce(address, linkPort, signal);
@@ -391,8 +451,8 @@
     if (host === self.host) return link.close();
     const peer = new meshPeer.MeshPeer(hello.member, hello.incarnation, link);
     this.#linked.set(host, peer);
-    this.#noteMember(hello.member, undefined);
-    for (const other of hello.others) this.#noteMember(other, undefined);
+    this.#noteEntry(hello.member, undefined);
+    for (const other of hello.others) this.#noteEntry(other, undefined);
     this.#linksChanged.announce();
     logger.event(common.EventCode.LinkEstablished, { peer: host });
     this.#sendHeartbeat(peer, this.#heartbeatClock.nextStamp());
@@ -418,7 +478,7 @@
         onOutstanding(peer.member.host, new Map(message.outstanding));
         this.#documents.receiveProofs(message);
         this.#documents.pushNewer(peer);
-        if (message.leaving) this.#forget(peer.member.host);
+        if (message.leaving) this.#removeDeparted(peer.member.host);
         return;
       }
       case wire.MessageKind.MeshConfiguration:
@@ -427,15 +487,16 @@
       case wire.MessageKind.Suspicions:
         return this.parameters.suspicions.receive(message, peer.member.host);
       default:
-        // No entry sends any other kind here, and both ends run the same
-        // program, so the message is a fault of the peer. Its link is closed.
+        // No entry sends any other kind of message on a mesh link, and both
+        // ends run the same program, so the peer is faulty. Its link is closed.
         peer.link.close(wire.LinkEnd.Unreadable);
     }
   }
 
   /**
-   * Applies a peer's epoch of the table if it is higher. Only few entries poll
-   * the table; the others learn from them that it was restored from a copy.
+   * Applies the epoch of the table that a peer reports, if it is higher than
+   * the one known here. Only a few entries poll the store. The others learn
+   * from the heartbeats of these that the table was restored from a copy.
    */
   #noteEpoch(reportedEpoch: number): void {
     const { epoch } = this.parameters.rows;
@@ -477,7 +538,12 @@
   }
 }
 
-/** Heartbeat of links whose other messages carry all state: it reports none. */
+/**
+ * Content of the link's own heartbeats on mesh links and on links between
+ * ranks. They only show that the link works: other messages on these links
+ * carry all state, so the two fields, which the link protocol requires, are 0
+ * and unused.
+ */
 export function emptyHeartbeat(): { clock: number; revision: number } {
   return { clock: 0, revision: 0 };
 }
--- a/packages/daemon/src/mesh/heartbeat_clock.ts
+++ b/packages/daemon/src/mesh/heartbeat_clock.ts
@@ -1,16 +1,19 @@
 import * as common from "@geraniumkeel/common";
 
-/** Heartbeats whose sending time is remembered: those of several seconds. */
+/**
+ * Number of heartbeats whose sending time this process remembers: those of
+ * several seconds.
+ */
 const MAX_REMEMBERED_HEARTBEATS = 64;
 
 /**
  * Numbers the heartbeats of this process and remembers when each was sent, in
  * order to date statements of peers by this process's own clocks. A peer's
  * heartbeat carries the number of the last heartbeat that the peer received,
- * which proves that the peer sent its own later than that. A message may be
- * delayed in a connection for seconds while the network is cut. Because its age
- * counts from the heartbeat that it echoes, a late proof never appears more
- * recent than it is.
+ * which proves that the peer sent its heartbeat after that one was sent. A
+ * message may be delayed in a connection for seconds while the network is cut.
+ * Because this process counts the age of a proof from its own heartbeat that
+ * the message echoes, a late proof never appears more recent than it is.
  */
 export class HeartbeatClock {
   readonly #sentAt: { stamp: number; at: common.Instant }[] = [];
--- a/packages/daemon/src/mesh/heartbeat_clock_test.ts
+++ b/packages/daemon/src/mesh/heartbeat_clock_test.ts
@@ -5,8 +5,8 @@
 const test = ava.default;
 
 // A network that was cut may deliver a peer's proof seconds late. The receiver
-// must not take the proof for recent: it counts from its own heartbeat that the
-// peer echoed.
+// must not treat the proof as recent, so it counts the age of the proof from
+// its own heartbeat that the peer echoed.
 test("a proof dates from the echoed heartbeat minus the age of the proof", (t) => {
   const clock = new heartbeatClock.HeartbeatClock();
   const before = common.instant();
--- a/packages/daemon/src/mesh/member_rows.ts
+++ b/packages/daemon/src/mesh/member_rows.ts
@@ -18,11 +18,12 @@
 const MAX_ROWS = 1_000;
 
 /**
- * Longest wait for the removal of a row; a stopping process waits for it.
+ * Longest time that a process waits for the removal of a row. A process that
+ * stops waits for the removal of its own.
  */
 const REMOVE_TIMEOUT_MILLISECONDS = 500;
 
-/** An entry's row. Its revision is the condition of its removal. */
+/** An entry's row. The row is removed only if it still has this revision. */
 export interface MemberRow {
   member: wire.MeshMember;
   revision: backingServices.Revision;
@@ -51,7 +52,10 @@
     return this.#confirmedEpoch ?? -1;
   }
 
-  /** Writes that the table's configuration is the newest in an epoch. */
+  /**
+   * Writes a row which states that in an epoch of the table the table's
+   * configuration is the newest.
+   */
   async confirmEpoch(epoch: number): Promise<void> {
     const outcome = await this.table.transact({
       conditions: [],
--- a/packages/daemon/src/mesh/mesh_peer.ts
+++ b/packages/daemon/src/mesh/mesh_peer.ts
@@ -47,7 +47,7 @@
     const received = this.#received;
     if (!received) return { echoedStamp: -1, echoedAge: 0 };
     // Uses the monotonic clock alone, which may run slow. An age that is too
-    // small is safe: the peer then takes a proof for older than it is.
+    // small is safe: the peer then treats a proof as older than it is.
     const echoedAge = common.now() - received.at.monotonic;
     return { echoedStamp: received.heartbeat.stamp, echoedAge };
   }
--- a/packages/stand_ins/src/gateways/gateways.ts
+++ b/packages/stand_ins/src/gateways/gateways.ts
@@ -203,7 +203,7 @@
   }
 
   #linked(gateway: daemon.Gateway): boolean {
-    const heard = gateway.mesh.peers().filter(({ beat }) => beat);
+    const heard = gateway.mesh.known().filter(({ beat }) => beat);
     return heard.length >= this.running.length - 1;
   }
 }
