--- a/packages/daemon/src/gateway/gateway.ts
+++ b/packages/daemon/src/gateway/gateway.ts
@@ -186,7 +186,7 @@
       currentVersion: () => this.configuration.version,
       latestReading: () => this.#latestReading,
       lowestServedVersion: () => this.#lowestServedVersion(),
-      isConfirmer: () => this.mesh.followPlace() === 0,
+      isConfirmer: () => this.mesh.pollPosition() === 0,
       logger,
     });
   }
@@ -348,7 +348,7 @@
    */
   #lowestServedVersion(): number | undefined {
     const versions = this.mesh
-      .peers()
+      .known()
       .flatMap(({ beat }) => (beat?.ready ? [beat.configuration.version] : []));
     return versions.length > 0 ? Math.min(...versions) : undefined;
   }
@@ -380,7 +380,7 @@
    * follows from the entry's position in the order of `followPlace`.
    */
   #restBelowAge(): number {
-    const index = this.mesh.followPlace() - STORE_POLLERS;
+    const index = this.mesh.pollPosition() - STORE_POLLERS;
     if (index < 0) return 0;
     return FALLBACK_AGE_MILLISECONDS + index * FALLBACK_STAGGER_MILLISECONDS;
   }
