--- a/packages/daemon/src/admission/credit_bucket.ts
+++ b/packages/daemon/src/admission/credit_bucket.ts
@@ -48,6 +48,8 @@
   /**
    * If the bucket covers `needed`, takes up to `wanted`. Otherwise takes
    * nothing and returns the milliseconds until the bucket will cover `needed`.
+   * Of more tokens than a burst, the bucket need only cover a burst; it then
+   * grants all of `needed.tokens`.
    */
   take(
     needed: Credit,
@@ -55,8 +57,8 @@
   ): { granted: Credit } | { waitMilliseconds: number } {
     this.#refill();
     const rate = this.rate();
-    // The bucket never contains more than a burst: a request for more tokens is
-    // granted from a full bucket, which then becomes negative.
+    // The bucket never contains more tokens than a burst. A call that needs more
+    // gets them from a full bucket, which then becomes negative.
     const burstTokens = rate.tokens * rate.burstSeconds;
     const tokensNeeded = Math.min(needed.tokens, burstTokens);
     const missingRequests = needed.requests - this.#requests;
--- a/packages/daemon/src/mesh/heartbeat_clock.ts
+++ b/packages/daemon/src/mesh/heartbeat_clock.ts
@@ -48,10 +48,10 @@
     if (echoedStamp < 0 || factAge < 0) return undefined;
     const sent = this.#sentAt[echoedStamp % MAX_REMEMBERED_HEARTBEATS];
     if (sent?.stamp !== echoedStamp) return undefined;
-    const timeSinceSending = echoedAge - factAge;
+    const offsetFromSending = echoedAge - factAge;
     return {
-      monotonic: sent.at.monotonic + timeSinceSending,
-      wall: sent.at.wall + timeSinceSending,
+      monotonic: sent.at.monotonic + offsetFromSending,
+      wall: sent.at.wall + offsetFromSending,
     };
   }
 }
--- a/packages/daemon/src/quarantine/suspect_ledger.ts
+++ b/packages/daemon/src/quarantine/suspect_ledger.ts
@@ -1,10 +1,13 @@
 import * as crashCounts from "./crash_counts.ts";
 
-/** Largest number of crashes that the ledger retains. */
+/**
+ * Number of crashes above which the ledger removes some. Crashes for which a
+ * request is in quarantine stay.
+ */
 const MAX_CRASHES = 4_000;
 /**
- * Largest number of suspicions that the ledger retains for all crashes
- * together.
+ * Number of suspicions, of all crashes together, above which the ledger removes
+ * some. Those of quarantined requests stay.
  */
 const MAX_SUSPICIONS = 20_000;
 /** Largest number of requests in quarantine at once. */
@@ -19,7 +22,8 @@
 export interface Suspicion {
   fingerprint: string;
   /**
-   * When the request was sent to the runner, by this process's monotonic clock.
+   * When the request was sent to the runner, by the monotonic clock of the
+   * process that has this object. Messages contain ages instead.
    */
   startedAt: number;
   /**
@@ -40,7 +44,10 @@
   service: string;
   /** Version of the runner's software; empty if it is unknown. */
   version: string;
-  /** When the runner crashed, by this process's monotonic clock. */
+  /**
+   * When the runner crashed, by the monotonic clock of the process that has
+   * this object. Messages contain ages instead.
+   */
   endedAt: number;
   /** Hosts of the entries that saw the crash. */
   seenBy: string[];
@@ -53,7 +60,11 @@
 
 /** What a merge of reports changed. Requests are named by fingerprint. */
 export interface LedgerChange {
-  /** Whether the reports changed what the ledger records about any request. */
+  /**
+   * Whether a report named a request for a crash for the first time, cleared it
+   * or disproved its crash. Another time or witness of a known crash is nothing
+   * new in this sense.
+   */
   hasNewFacts: boolean;
   /** Requests that the merge put in quarantine, without those already there. */
   quarantined: string[];
@@ -82,8 +93,8 @@
 }
 
 /**
- * Records the crashes of runners that all entries report, and the requests that
- * were under way at each, and decides which requests are quarantined. Reports
+ * Records the runner crashes that entries report and the requests that were
+ * under way at each, and decides which requests are quarantined. Reports
  * are merged as sets: a report may arrive several times, over several entries
  * and in any order, and each crash counts once, whichever entries saw it. A
  * flood of other suspicions does not push out quarantined requests.
@@ -353,7 +364,8 @@
   }
 
   /**
-   * Removes old crashes, and the oldest if there are too many. If there are
+   * Goes through the crashes in order of arrival and removes them while they
+   * are old or there are too many; stops at the first other one. If there are
    * still too many suspicions, removes those of requests with a single crash,
    * then others, oldest first. Quarantined requests stay.
    */
--- a/packages/daemon/src/rank_group/count_plan.ts
+++ b/packages/daemon/src/rank_group/count_plan.ts
@@ -30,9 +30,9 @@
 }
 
 /**
- * Plans the reports for groups of any size. All ranks report if the leader's
- * network link can carry that; if not, the first linked ranks do, at a period
- * that the link can carry.
+ * Plans the reports for groups of any size, so that the leader's network link
+ * and its processor can handle them. All ranks report if the link can carry
+ * that; if not, the first linked ranks do, at a period that the link can carry.
  */
 export function planCounts(parameters: {
   /**
